--- a/peattrestle/feed/__init__.py
+++ b/peattrestle/feed/__init__.py
@@ -1,1 +1,1 @@
-"""The control feed: numbered events read and applied once, without I/O or clock."""
+"""The control feed: parsing its event stream and applying each numbered event once, without I/O or clock."""
--- a/peattrestle/feed/sse.py
+++ b/peattrestle/feed/sse.py
@@ -1,44 +1,47 @@
-"""Server-sent events from bytes (the HTML standard, 9.2.6). No I/O, no clock; bounded by `MOST_EVENT`."""
+"""Incremental parser for server-sent events (HTML standard, section 9.2.6). No I/O, no clock."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MOST_EVENT = 1_048_576  # the whole list of a large fleet is one event
+MAX_EVENT_BYTES = 1_048_576  # the full list of a large fleet is a single event
 
 
 class BadFeed(Exception):
-    """The feed says what it may not say; the text names what."""
+    """The feed violates its format; the text says where."""
 
 
 @dataclass(slots=True, frozen=True)
-class Sent:
-    """One whole event: its `id` and its `data`."""
+class ServerSentEvent:
+    """One complete event: its `id`, '' if none was sent, and its `data`."""
 
     id: str
     data: bytes
 
 
-class Events:
-    """Bytes in, whole events out; half an event is never one, however the stream ends."""
+class EventStreamParser:
+    """Parses a byte stream into events; an incomplete event at the end of the stream is never returned."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._buffer = b""
         self._id = ""
         self._data: list[bytes] = []
-        self._size = 0
+        self._event_bytes = 0
 
-    def feed(self, data: bytes) -> list[Sent]:
-        """Raises BadFeed for what grows beyond the bound or is not UTF-8 where it must be."""
-        out: list[Sent] = []
-        *lines, self._held = (self._held + data).split(b"\n")
-        self._size += len(data)
+    def feed(self, data: bytes) -> list[ServerSentEvent]:
+        """Returns the events that these bytes complete.
+
+        Raises BadFeed for event longer than `MAX_EVENT_BYTES` or an id that is not UTF-8.
+        """
+        events: list[ServerSentEvent] = []
+        *lines, self._buffer = (self._buffer + data).split(b"\n")
+        self._event_bytes += len(data)
         for line in lines:
             line = line.removesuffix(b"\r")
             if not line:
                 if self._data:
-                    out.append(Sent(self._id, b"\n".join(self._data)))
-                self._data, self._size = [], len(self._held)
+                    events.append(ServerSentEvent(self._id, b"\n".join(self._data)))
+                self._data, self._event_bytes = [], len(self._buffer)
                 continue
             name, _, value = line.partition(b":")
             value = value.removeprefix(b" ")
@@ -48,9 +51,9 @@
                 try:
                     self._id = value.decode()
                 except UnicodeDecodeError:
-                    raise BadFeed("an id that is not UTF-8") from None
+                    raise BadFeed("event id: not UTF-8") from None
             elif not name and not self._data:
-                self._size = len(self._held)  # a comment: nothing of it is kept
-        if self._size > MOST_EVENT:
-            raise BadFeed(f"an event longer than {MOST_EVENT} bytes")
-        return out
+                self._event_bytes = len(self._buffer)  # comments are discarded and do not count
+        if self._event_bytes > MAX_EVENT_BYTES:
+            raise BadFeed(f"event longer than {MAX_EVENT_BYTES} bytes")
+        return events
--- a/peattrestle/feed/state.py
+++ b/peattrestle/feed/state.py
@@ -1,9 +1,14 @@
-"""What of the control feed has been applied. Events are numbered; each counts once, in order.
+"""Applies the numbered events of the control feed exactly once and in order.
 
-The state knows members as the feed tells them and says what an event has changed. Repeats are passed over; a
-gap is asked for again, and taken as it is only when the source, asked from the last number applied, starts
-behind it once more: it has no more to tell. An event that cannot be read is asked for once more in the same
-way, then passed over, so that one spoilt event never hides those behind it. No I/O, no clock.
+The state decides for each event whether it is a duplicate, the next one, or not usable yet:
+
+- duplicates are ignored;
+- after a gap in the numbers, the feed is requested once more from the last event applied; if its first event
+  leaves the same gap, the source does not have the missing events, and the gap is accepted;
+- after an event that cannot be decoded, the feed is requested once more in the same way, and the event is
+  skipped if it fails again, so that a corrupt event never blocks the ones after it.
+
+No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -13,15 +18,15 @@
 
 import msgspec
 
-from peattrestle.feed.sse import BadFeed, Sent
+from peattrestle.feed.sse import BadFeed, ServerSentEvent
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 STATES = {"SERVING": READY, "DRAINING": DRAINING, "DELETED": GONE}
-MOST_MEMBERS = 10_000
+MAX_MEMBERS = 10_000
 
 
 class Host(msgspec.Struct, frozen=True):
-    """A member as the feed writes it; `block` is the exchange's number, `born_ms` its late start, else 0."""
+    """A member as encoded in the feed; `block` is the exchange's number, `born_ms` as in `Member`."""
 
     host: str
     dial: str
@@ -41,14 +46,14 @@
     members: _Members | None = None
 
 
-class _Known(msgspec.Struct):
+class _KnownEvents(msgspec.Struct):
     n: int
     events: list[_Event]
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """One exchange; `born_ms`: the Unix millisecond of a late start, else 0."""
+    """One exchange; `born_ms` is its start in Unix milliseconds if it started late, else 0."""
 
     exchange: str
     number: int
@@ -60,81 +65,88 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """What one event has told: the whole list, or what of it has changed."""
+    """The update in one event: the full list of members if `whole`, else only the changed members."""
 
     whole: bool
     members: tuple[Member, ...]
 
 
-class AskAgain(Exception):
-    """The feed is to be asked again from `State.last`; the text says why."""
+class ResumeRequired(Exception):
+    """The feed must be requested again from `FeedState.last`; the text says why."""
 
 
 _event: msgspec.json.Decoder[_Event] = msgspec.json.Decoder(_Event)
 
 
 def _change(event: _Event) -> Change | None:
-    told = event.members
-    if told is None:
+    update = event.members
+    if update is None:
         return None
-    if len(told.hosts) > MOST_MEMBERS:
-        raise BadFeed(f"more than {MOST_MEMBERS} members")
+    if len(update.hosts) > MAX_MEMBERS:
+        raise BadFeed(f"more than {MAX_MEMBERS} members")
     members = []
-    for host in told.hosts:
+    for host in update.hosts:
         state = STATES.get(host.health)
         if state is None or not host.host or not 0 <= host.block < 1 << 31 or not 0 <= host.born_ms < 1 << 53:
-            raise BadFeed(f"member '{host.host}' can't be read")
+            raise BadFeed(f"member '{host.host}': invalid health, name, block or born_ms")
         members.append(Member(host.host, host.block, state, host.dial, host.site, host.born_ms))
-    return Change(told.whole, tuple(members))
+    return Change(update.whole, tuple(members))
 
 
-class State:
-    """`last`: the number of the last event applied; what `Last-Event-ID` is to be."""
+class FeedState:
+    """The position in the feed; `last` is the number of the last event applied, sent as `Last-Event-ID`."""
 
     def __init__(self) -> None:
         self.last = 0
-        self._asked_from = -1  # the feed was asked again from here
-        self._asking = False
+        self._resumed_from = -1  # `last` at the time of the last repeated request
+        self._awaiting_first_event = False
 
-    def known(self, tree: Any) -> list[Change]:
-        """The events of a configuration's `known` not yet applied. Raises BadFeed, and then none is."""
+    def apply_known(self, tree: Any) -> list[Change]:
+        """Applies the events of a configuration's `known` and returns the changes of those that are new.
+
+        Raises BadFeed if one is invalid; no event is then applied.
+        """
         try:
-            known = msgspec.convert(tree, _Known)
-        except msgspec.ValidationError as fault:
-            raise BadFeed(f"known: {fault}") from None
+            known = msgspec.convert(tree, _KnownEvents)
+        except msgspec.ValidationError as error:
+            raise BadFeed(f"known: {error}") from None
         fresh = [(event.n, _change(event)) for event in known.events if event.n > self.last]
         self.last = max(self.last, known.n, *(n for n, _ in fresh)) if fresh else max(self.last, known.n)
         return [change for _, change in fresh if change is not None]
 
-    def asked(self) -> None:
-        """The feed is being asked from `last`: its first event shows whether there is a gap."""
-        self._asking = True
+    def on_request(self) -> None:
+        """Notes that the feed is requested from `last`: the first event then shows whether a gap remains."""
+        self._awaiting_first_event = True
 
-    def take(self, sent: Sent) -> Change | None:
-        """The change that an event makes; None for a repeat or one that tells nothing of members.
+    def apply(self, server_event: ServerSentEvent) -> Change | None:
+        """Applies an event; returns its change, None for a duplicate or an event without members.
 
-        Raises AskAgain for a gap, or an event that can't be read, the first time.
+        Raises ResumeRequired for a gap, or an event that cannot be decoded, the first time.
         """
-        again = self._asked_from == self.last
+        resumed = self._resumed_from == self.last
         try:
-            event = _event.decode(sent.data)
-            if sent.id and sent.id != str(event.n):
-                raise BadFeed(f"event {event.n} under the id '{sent.id[:20]}'")
+            event = _event.decode(server_event.data)
+            if server_event.id and server_event.id != str(event.n):
+                raise BadFeed(f"event {event.n} has the id '{server_event.id[:20]}'")
             if event.n <= self.last:
                 return None
             change = _change(event)
-        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, BadFeed) as fault:
-            number = int(sent.id) if sent.id.isascii() and sent.id.isdigit() and len(sent.id) < 16 else -1
+        except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, BadFeed) as error:
+            number = (
+                int(server_event.id)
+                if server_event.id.isascii() and server_event.id.isdigit() and len(server_event.id) < 16
+                else -1
+            )
             if 0 <= number <= self.last:
                 return None
-            if again and number == self.last + 1:
-                self.last = number  # read twice and spoilt twice
+            if resumed and number == self.last + 1:
+                self.last = number  # corrupt in both responses: skipped
                 return None
-            self._asked_from = self.last
-            raise AskAgain(f"an event that can't be read: {fault}") from None
-        if event.n > self.last + 1 and not (again and self._asking):
-            self._asked_from = self.last
-            raise AskAgain(f"event {event.n} after {self.last}")
-        self._asking = False
+            self._resumed_from = self.last
+            raise ResumeRequired(f"invalid event: {error}") from None
+        if event.n > self.last + 1 and not (resumed and self._awaiting_first_event):
+            self._resumed_from = self.last
+            raise ResumeRequired(f"gap: event {event.n} after {self.last}")
+        self._awaiting_first_event = False
         self.last = event.n
         return change
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -16,7 +16,7 @@
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.exchangeline import lines
-from peattrestle.feed.state import GONE, READY, Change, Member, State
+from peattrestle.feed.state import GONE, READY, Change, FeedState, Member
 from peattrestle.platform import mapping
 from peattrestle.platform.config import Config
 from peattrestle.platform.connections import Caller, CallerConnections
@@ -100,7 +100,7 @@
         self.shutdown: ShutdownPlan | None = None
         self.refusing = False  # every set-up, in the last moments of a shutdown
         self.last_set_up_at = 0
-        self.state = State()
+        self.state = FeedState()
         self.follower: Follower | None = None
 
     # Start, new configuration, stop.
@@ -108,7 +108,7 @@
     def start(self) -> None:
         """Raises OSError where it can't listen."""
         self.connections.listen(self.config.listen)
-        for change in self.state.known(self.config.known):
+        for change in self.state.apply_known(self.config.known):
             self.told(change)
         self.follower = Follower(self.kernel, self.state, self.config.feed, self.told, self.log)
         self.kernel.spawn(self.settle(), "settle")
@@ -124,7 +124,7 @@
 
     def reload(self, config: Config) -> None:
         """A new configuration: the feed may be elsewhere; calls and numbers go on."""
-        for change in self.state.known(config.known):
+        for change in self.state.apply_known(config.known):
             self.told(change)
         self.config = replace(self.config, feed=config.feed, sockets=config.sockets)
         if self.follower is not None:
--- a/peattrestle/platform/config.py
+++ b/peattrestle/platform/config.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from peattrestle.feed.sse import BadFeed
-from peattrestle.feed.state import State
+from peattrestle.feed.state import FeedState
 from peattrestle.runtime.epoll import split
 from peattrestle.wirehost import parse
 
@@ -86,7 +86,7 @@
         _whole(settings, f"gos_target:{one}", 1)
         _whole(settings, f"holding:{one}", 1)
     try:
-        State().known(tree.get("known", {"n": 0, "events": []}))
+        FeedState().apply_known(tree.get("known", {"n": 0, "events": []}))
     except BadFeed as fault:
         raise BadConfig(str(fault)) from None
     return Config(
--- a/peattrestle/platform/follow.py
+++ b/peattrestle/platform/follow.py
@@ -6,8 +6,8 @@
 
 import h11
 
-from peattrestle.feed.sse import BadFeed, Events
-from peattrestle.feed.state import AskAgain, Change, State
+from peattrestle.feed.sse import BadFeed, EventStreamParser
+from peattrestle.feed.state import Change, FeedState, ResumeRequired
 from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, Task
 from peattrestle.runtime.supervise import supervised
 
@@ -25,7 +25,7 @@
     def __init__(
         self,
         kernel: Kernel,
-        state: State,
+        state: FeedState,
         address: str,
         told: Callable[[Change], None],
         log: Callable[..., None],
@@ -72,10 +72,10 @@
             wait = min(2 * wait, RETRY_MOST)
 
     def read(self, stream: Stream) -> Coroutine[str]:
-        http, events = h11.Connection(h11.CLIENT), Events()
+        http, events = h11.Connection(h11.CLIENT), EventStreamParser()
         self.heard_at = self.kernel.now()
         keeper = self.kernel.spawn(self.keep(stream), "feed keeper")
-        self.state.asked()
+        self.state.on_request()
         fields = [
             ("Host", self.address),
             ("Accept", "text/event-stream"),
@@ -98,12 +98,12 @@
                         )
                     if isinstance(event, h11.Data):
                         for sent in events.feed(bytes(event.data)):
-                            change = self.state.take(sent)
+                            change = self.state.apply(sent)
                             if change is not None:
                                 self.told(change)
                     elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)) or event is h11.PAUSED:
                         return "it ended"
-        except (Lost, BadFeed, AskAgain, h11.RemoteProtocolError) as fault:
+        except (Lost, BadFeed, ResumeRequired, h11.RemoteProtocolError) as fault:
             return str(fault)
         finally:
             keeper.cancel()
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -614,7 +614,9 @@
     town.caller(invite("00000000000000aa"))
     town.exchanges[1].die()
     new = town.exchanges[1] = Exchange(town, 1)
-    change = town.agent.state.known({"n": 2, "events": [event(2, host("s1", 1, "DELETED"), host("s9", 1))]})
+    change = town.agent.state.apply_known(
+        {"n": 2, "events": [event(2, host("s1", 1, "DELETED"), host("s9", 1))]}
+    )
     town.agent.told(change[0])
     town.pass_time(300)
     assert set(town.agent.links) == {"s2", "s9"} and len(new.streams) == 2
@@ -717,7 +719,7 @@
     lose()
     town.caller(invite("00000000000000aa"))
     assert list(link.waiting) == ["00000000000000aa"]
-    change = town.agent.state.known({"n": 2, "events": [event(2, host("s1", 1, state))]})
+    change = town.agent.state.apply_known({"n": 2, "events": [event(2, host("s1", 1, state))]})
     town.agent.told(change[0])
     exchange.say(exchange.streams[-1], verb="LOAD", opts={"load": LOAD})
     town.pass_time(30)
@@ -835,7 +837,7 @@
 
 
 def told(town: Town, n: int, *hosts: dict[str, Any]) -> None:
-    for change in town.agent.state.known({"n": n, "events": [event(n, *hosts)]}):
+    for change in town.agent.state.apply_known({"n": n, "events": [event(n, *hosts)]}):
         town.agent.told(change)
 
 
