--- a/peattrestle/platform/__main__.py
+++ b/peattrestle/platform/__main__.py
@@ -1,7 +1,8 @@
-"""python -m peattrestle.platform: one call agent as the platform starts it.
+"""python -m peattrestle.platform: runs one call agent under the platform.
 
-`LB_CONFIG` names its configuration; `PEATTRESTLE_DEBUG_LINES` bounds the debug lines of a second.
-Exit codes: 0 ended as asked, 2 the configuration can't be used, 3 it could not listen.
+`LB_CONFIG` is the path of the configuration; `PEATTRESTLE_DEBUG_LINES` limits the debug lines per second.
+SIGHUP reloads the configuration; SIGTERM and SIGINT start an orderly shutdown.
+Exit codes: 0 stopped by a signal, 2 invalid configuration, 3 cannot listen.
 """
 
 from __future__ import annotations
@@ -16,34 +17,35 @@
 from peattrestle.platform import config as configuration
 from peattrestle.platform.agent import Agent
 from peattrestle.platform.config import BadConfig
-from peattrestle.platform.log import DEBUG_LINES, Logger
+from peattrestle.platform.log import MAX_DEBUG_LINES, Logger
 from peattrestle.runtime.epoll import EpollKernel
 
 
 def debug_lines() -> int:
-    """The bound that the environment sets, the usual one where it sets none."""
+    """Returns the limit of debug lines per second from the environment, or the default."""
     text = os.environ.get("PEATTRESTLE_DEBUG_LINES", "")
-    return int(text) if text.isascii() and text.isdigit() and len(text) < 7 else DEBUG_LINES
+    return int(text) if text.isascii() and text.isdigit() and len(text) < 7 else MAX_DEBUG_LINES
 
 
 def main() -> int:
+    """Runs the agent until it is stopped; returns the exit code."""
     path = os.environ.get("LB_CONFIG", "")
     try:
         if not path:
-            raise BadConfig("LB_CONFIG names no file")
+            raise BadConfig("LB_CONFIG is not set")
         config = configuration.load(path)
-    except BadConfig as fault:
-        print(f"peattrestle: {fault}", file=sys.stderr)
+    except BadConfig as error:
+        print(f"peattrestle: {error}", file=sys.stderr)
         return 2
     kernel = EpollKernel(config.seed)
     log = Logger(kernel, debug_lines=debug_lines())
     agent = Agent(kernel, config, log, kernel.stop)
 
-    def crashed(name: str, error: BaseException) -> None:
+    def log_crash(name: str, error: BaseException) -> None:
         where = "".join(traceback.format_tb(error.__traceback__)[-3:])
-        log("error", "a coroutine raised", name=name, error=repr(error), where=where)
+        log("error", "coroutine raised an exception", name=name, error=repr(error), where=where)
 
-    def signalled(number: int) -> None:
+    def handle_signal(number: int) -> None:
         log("info", "signal", name=signal.Signals(number).name)
         if number != signal.SIGHUP:
             log.stopping = True
@@ -51,15 +53,15 @@
             return
         try:
             agent.reload(configuration.load(path))
-        except (BadConfig, BadFeed) as fault:
-            log("error", "the configuration can't be used; the old one stays", fault=str(fault))
+        except (BadConfig, BadFeed) as error:
+            log("error", "invalid configuration, keeping the old one", fault=str(error))
 
-    kernel.on_crash = crashed
-    kernel.on_signals((signal.SIGTERM, signal.SIGINT, signal.SIGHUP), signalled)
+    kernel.on_crash = log_crash
+    kernel.on_signals((signal.SIGTERM, signal.SIGINT, signal.SIGHUP), handle_signal)
     try:
         agent.start()
-    except OSError as fault:
-        print(f"peattrestle: {config.listen}: {fault.strerror}", file=sys.stderr)
+    except OSError as error:
+        print(f"peattrestle: {config.listen}: {error.strerror}", file=sys.stderr)
         return 3
     gc.collect()
     gc.freeze()
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -306,7 +306,7 @@
             self.log("debug", "bad set-up", reference=message.call_id[:40], why=str(fault))
             caller.stream.write(sip.answer(400, message.fields))
             return
-        if asked.at:
+        if asked.established_exchange:
             self.stands_already(caller, asked, now)
             return
         if asked.tag in self.tags:
@@ -342,7 +342,7 @@
                 asked.width,
                 asked.via,
                 asked.transit,
-                asked.again,
+                asked.cut_before,
             ),
         )
 
@@ -358,13 +358,13 @@
             return
         self.counts.add("taken_over")
         call = SipCall(self.next_id(), now, now, state=ESTABLISHED, asked=asked, caller=caller, fields={})
-        link = self.links.get(asked.at)
-        if link is None or self.ended_at.pop((asked.at, asked.tag), 0):
+        link = self.links.get(asked.established_exchange)
+        if link is None or self.ended_at.pop((asked.established_exchange, asked.tag), 0):
             self.send_release(call, lines.RESET if link is None else lines.NORMAL)
             return
-        call.answered_try = Try(call, 0, asked.at, now, "stands", link=link)
+        call.answered_try = Try(call, 0, asked.established_exchange, now, "stands", link=link)
         self.calls[call.id] = self.tags[asked.tag] = call
-        self.standing.setdefault(asked.at, {})[asked.tag] = call
+        self.standing.setdefault(asked.established_exchange, {})[asked.tag] = call
 
     def over(self, call: SipCall, cause: int) -> None:
         """A standing call has come to its end beyond us: its caller is told."""
@@ -489,7 +489,7 @@
         verb = line.verb
         if verb == "LOAD" and connection is not link.first:
             return
-        load = mapping.load(line.opts["load"]) if "load" in line.opts else {}
+        load = mapping.parse_load(line.opts["load"]) if "load" in line.opts else {}
         one = link.tries.get(line.tag)
         if one is not None and one.connection is not connection:
             one = None  # an answer to an earlier try of the same call
--- a/peattrestle/platform/config.py
+++ b/peattrestle/platform/config.py
@@ -1,4 +1,4 @@
-"""The configuration that the platform hands to a call agent, checked. `BadConfig` names place and fault."""
+"""Reads and validates the JSON configuration that the platform gives to a call agent."""
 
 from __future__ import annotations
 
@@ -13,16 +13,20 @@
 from peattrestle.wirehost import parse
 
 MS = 1_000_000
-MOST_FILE = 8_388_608
+MAX_FILE_BYTES = 8_388_608
 
 
 class BadConfig(Exception):
-    """The configuration can't be used; the text names place and fault."""
+    """The configuration is invalid; the text names the place and what is wrong there."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """`settings` is the module's flat map; `known` the control feed's events up to the start, as given."""
+    """A validated configuration.
+
+    `listen` and `feed` are addresses, `sockets` is the limit of open descriptors, `settings` the controller's
+    flat settings, and `known` the control feed's events up to the start, as given.
+    """
 
     name: str
     listen: str
@@ -37,63 +41,63 @@
 def _address(tree: dict[str, Any], place: str) -> str:
     value = tree.get(place)
     if not isinstance(value, str):
-        raise BadConfig(f"{place}: missing, or no text")
+        raise BadConfig(f"{place}: missing or not a string")
     try:
         split(value)
-    except ValueError as fault:
-        raise BadConfig(f"{place}: {fault}") from None
+    except ValueError as error:
+        raise BadConfig(f"{place}: {error}") from None
     return value
 
 
-def _whole(settings: dict[str, Any], name: str, least: int) -> None:
+def _check_integer(settings: dict[str, Any], name: str, minimum: int) -> None:
     value = settings.get(name)
-    if not isinstance(value, int) or isinstance(value, bool) or value < least:
-        raise BadConfig(f"settings: {name} is missing or not a whole number from {least} on")
+    if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
+        raise BadConfig(f"settings: {name} is missing or not an integer from {minimum} up")
 
 
 def read(text: str) -> Config:
-    """Raises BadConfig."""
+    """Returns the configuration in a JSON text. Raises BadConfig if it is invalid."""
     try:
         tree = json.loads(text)
-    except (ValueError, RecursionError) as fault:
-        raise BadConfig(f"not JSON: {fault}") from None
+    except (ValueError, RecursionError) as error:
+        raise BadConfig(f"not JSON: {error}") from None
     if not isinstance(tree, dict):
         raise BadConfig("not a JSON object")
     name, seed, limits = tree.get("name"), tree.get("seed"), tree.get("limits")
     if not isinstance(name, str) or not name:
-        raise BadConfig("name: missing, or no text")
+        raise BadConfig("name: missing or not a string")
     try:
-        drawn = int(seed, 16) if isinstance(seed, str) else -1
+        seed_number = int(seed, 16) if isinstance(seed, str) else -1
     except ValueError:
-        drawn = -1
-    if drawn < 0:
-        raise BadConfig("seed: not a hexadecimal number")
+        seed_number = -1
+    if seed_number < 0:
+        raise BadConfig(f"seed: {seed!r:.40} is not a hexadecimal number")
     sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else 1024
     if not isinstance(sockets, int) or sockets < 32:
-        raise BadConfig("limits.sockets: not a whole number from 32 on")
-    given = tree.get("settings")
-    if not isinstance(given, dict):
-        raise BadConfig("settings: missing, or no object")
+        raise BadConfig(f"limits.sockets: {sockets!r:.40} is not an integer from 32 up")
+    raw_settings = tree.get("settings")
+    if not isinstance(raw_settings, dict):
+        raise BadConfig("settings: missing or not an object")
     try:
-        settings, _ = parse.settings_of(given)
-    except (parse.Malformed, KeyError, TypeError, AttributeError, ValueError) as fault:
-        raise BadConfig(f"settings: {type(fault).__name__}: {fault}") from None
+        settings, _ = parse.settings_of(raw_settings)
+    except (parse.Malformed, KeyError, TypeError, AttributeError, ValueError) as error:
+        raise BadConfig(f"settings: {type(error).__name__}: {error}") from None
     if not settings["bearer_types"]:
         raise BadConfig("settings: Classes names no bearer type")
-    for one in ("own_number", "release_time", "drain_grace", "fall_time", "cold_time"):
-        _whole(settings, one, 0)
-    for one in settings["bearer_types"]:
-        _whole(settings, f"gos_target:{one}", 1)
-        _whole(settings, f"holding:{one}", 1)
+    for setting in ("own_number", "release_time", "drain_grace", "fall_time", "cold_time"):
+        _check_integer(settings, setting, 0)
+    for bearer_type in settings["bearer_types"]:
+        _check_integer(settings, f"gos_target:{bearer_type}", 1)
+        _check_integer(settings, f"holding:{bearer_type}", 1)
     try:
         FeedState().apply_known(tree.get("known", {"n": 0, "events": []}))
-    except BadFeed as fault:
-        raise BadConfig(str(fault)) from None
+    except BadFeed as error:
+        raise BadConfig(str(error)) from None
     return Config(
         name,
         _address(tree, "listen"),
         _address(tree, "feed"),
-        drawn,
+        seed_number,
         sockets,
         tree.get("known", {"n": 0, "events": []}),
         settings,
@@ -102,17 +106,17 @@
 
 
 def load(path: str) -> Config:
-    """Raises BadConfig."""
+    """Reads a configuration file. Raises BadConfig if it cannot be read or is invalid."""
     try:
         with Path(path).open("rb") as source:
-            data = source.read(MOST_FILE + 1)
-    except OSError as fault:
-        raise BadConfig(f"{path}: {fault.strerror}") from None
-    if len(data) > MOST_FILE:
-        raise BadConfig(f"{path}: longer than {MOST_FILE} bytes")
+            data = source.read(MAX_FILE_BYTES + 1)
+    except OSError as error:
+        raise BadConfig(f"{path}: {error.strerror}") from None
+    if len(data) > MAX_FILE_BYTES:
+        raise BadConfig(f"{path}: longer than {MAX_FILE_BYTES} bytes")
     try:
         return read(data.decode())
     except UnicodeDecodeError:
         raise BadConfig(f"{path}: not UTF-8") from None
-    except BadConfig as fault:
-        raise BadConfig(f"{path}: {fault}") from None
+    except BadConfig as error:
+        raise BadConfig(f"{path}: {error}") from None
--- a/peattrestle/platform/log.py
+++ b/peattrestle/platform/log.py
@@ -1,6 +1,6 @@
-"""The log of the agent in service: one JSON object a line on standard error, bounded by level and second.
+"""Log of the platform's call agent: JSON lines on standard error, rate-limited per second and level.
 
-Writing never holds the agent up: where standard error is a pipe that nobody empties, lines are dropped.
+Logging never blocks the agent: when standard error is a pipe whose reader is slow, lines are dropped.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from peattrestle.runtime import Kernel
 from peattrestle.runtime.kernel import SECOND
 
-MAIN_LINES = 40  # a second, of every level above debug
-DEBUG_LINES = 60  # a second, of the life of single calls
-DEBUG_LINES_STOPPING = 600  # a second, during a shutdown, which lasts seconds
-LONGEST_LINE = 4_000  # bytes; a pipe with a free page takes one at once
+MAX_LINES = 40  # per second, of all levels above debug
+MAX_DEBUG_LINES = 60  # per second; debug lines trace single calls
+MAX_DEBUG_LINES_STOPPING = 600  # per second, during a shutdown, which is short
+MAX_LINE_BYTES = 4_000  # a pipe with one free page accepts a line at once
 
 
 def pipe_size(output: TextIO) -> int:
-    """The bytes that the pipe behind `output` can hold; 0 where there is no pipe."""
+    """Returns the capacity in bytes of the pipe behind `output`, 0 if it is not a pipe."""
     with contextlib.suppress(OSError, ValueError):
         descriptor = output.fileno()
         if stat.S_ISFIFO(os.fstat(descriptor).st_mode):
@@ -34,13 +34,15 @@
 
 
 class Logger:
-    """Writes `at` (Unix seconds), `level`, `text` and the given fields.
+    """Writes `at` (Unix seconds), `level`, `text` and the given fields as one JSON object per line.
 
-    Lines beyond a second's bound are not written; the next line of that kind has their number as
-    `lines_dropped`. `stopping` raises the bound for debug lines.
+    Lines beyond the limit of a second are dropped; the next line of that kind carries their number as
+    `lines_dropped`. `stopping` raises the limit for debug lines.
     """
 
-    def __init__(self, kernel: Kernel, output: TextIO | None = None, debug_lines: int = DEBUG_LINES) -> None:
+    def __init__(
+        self, kernel: Kernel, output: TextIO | None = None, debug_lines: int = MAX_DEBUG_LINES
+    ) -> None:
         self.kernel, self.debug_lines = kernel, debug_lines
         self.output = output or sys.stderr
         self.stopping = False
@@ -51,7 +53,7 @@
 
     def __call__(self, level: str, text: str, **fields: Any) -> None:
         debug = level == "debug"
-        if not self._admits(debug) or self._would_block():
+        if not self._is_within_limit(debug) or self._would_block():
             self._dropped[debug] += 1
             return
         if self._dropped[debug]:
@@ -59,14 +61,18 @@
         at = round(self.kernel.wall() / SECOND, 3)
         entry = {"at": at, "level": level, "text": text} | fields
         line = json.dumps(entry, default=str)
-        if len(line) > LONGEST_LINE:
-            line = json.dumps({"at": at, "level": level, "text": text, "cut": line[: LONGEST_LINE // 4]})
+        if len(line) > MAX_LINE_BYTES:
+            line = json.dumps({"at": at, "level": level, "text": text, "cut": line[: MAX_LINE_BYTES // 4]})
         with contextlib.suppress(OSError):
             self.output.write(line + "\n")
             self.output.flush()
 
     def _would_block(self) -> bool:
-        """A pipe's pages are at least half full of lines, so below half of its size one is free."""
+        """Whether the pipe may be full.
+
+        Lines fill each page of a pipe at least half, so with less than half of its capacity used a page is
+        free.
+        """
         if not self._pipe_size:
             return False
         try:
@@ -74,16 +80,16 @@
         except OSError:
             return False
         waiting: int = struct.unpack("i", unread)[0]
-        return waiting > self._pipe_size // 2 - 2 * LONGEST_LINE
+        return waiting > self._pipe_size // 2 - 2 * MAX_LINE_BYTES
 
-    def _admits(self, debug: bool) -> bool:
+    def _is_within_limit(self, debug: bool) -> bool:
         second = self.kernel.now() // SECOND
         if second != self._second:
             self._second, self._written = second, {True: 0, False: 0}
         self._written[debug] += 1
-        return self._written[debug] <= self._bound(debug)
+        return self._written[debug] <= self._limit(debug)
 
-    def _bound(self, debug: bool) -> int:
+    def _limit(self, debug: bool) -> int:
         if not debug:
-            return MAIN_LINES
-        return max(self.debug_lines, DEBUG_LINES_STOPPING) if self.stopping else self.debug_lines
+            return MAX_LINES
+        return max(self.debug_lines, MAX_DEBUG_LINES_STOPPING) if self.stopping else self.debug_lines
--- a/peattrestle/platform/mapping.py
+++ b/peattrestle/platform/mapping.py
@@ -1,4 +1,4 @@
-"""The platform's words and the module's: causes, notes and figures. Tables only."""
+"""Translates causes, results and load reports between the platform's protocols and the controller."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from peattrestle.exchangeline import lines
 from peattrestle.wirehost import words
 
+# Note of an exchange's release -> cause in `interface.TryEnded`.
 CAUSES = {
     "congestion": "no_circuit",
     "crankback": "turned_back",
@@ -13,7 +14,7 @@
     "throttled": "processor_full",
     "engaged": "lines_busy",
 }
-# Cause of a release before the answer -> result of the route try; any other is a reset.
+# Q.850 cause of a release before the answer -> result in `interface.TryEnded`; any other is a reset.
 RESULTS = {
     lines.FULL: "full",
     lines.BUSY: "error",
@@ -21,12 +22,15 @@
     lines.MOOT: "moot",
     lines.RESET: "reset",
 }
-# Module's final answer -> SIP status.
+# Kind of a final answer -> SIP status; OWN_FAULT is a failure of the agent itself.
 STOOD, REFUSED, FAILED, OWN_FAULT = 200, 503, 408, 500
 
 
-def load(text: str | int | float) -> api.Load:
-    """A report in the module's names; below zero stands for 'not told' and is left out. Raises BadLine."""
+def parse_load(text: str | int | float) -> api.Load:
+    """Returns a load report under the controller's names, without negative values, which mean 'unknown'.
+
+    Raises BadLine if it is malformed.
+    """
     return {
         words.LOAD.get(name, name): value for name, value in lines.parse_report(text).items() if value >= 0
     }
--- a/peattrestle/platform/request.py
+++ b/peattrestle/platform/request.py
@@ -1,6 +1,7 @@
-"""What a caller's set-up must look like: its fields checked, within bounds.
+"""Validates the set-up requests (INVITE) of callers: required header fields, formats and ranges.
 
-A set-up that can be framed and not used gets an error, and harms no other call.
+A message that can be framed but is not a valid set-up is answered with an error; other calls are not
+affected.
 """
 
 from __future__ import annotations
@@ -11,21 +12,26 @@
 from peattrestle.sip import text as sip
 
 MS = 1_000_000
-MOST_TIMER = 600_000
-MOST_WIDTH = 1_000
+MAX_TIMER_MS = 600_000
+MAX_WIDTH = 1_000  # circuits
 
-_call_id = re.compile("[0-9a-f]{16}")
-_uri = re.compile("sips?:([0-9A-Za-z._+-]{1,64})@[0-9A-Za-z.:-]{1,255}")
-_exchange = re.compile("[0-9A-Za-z._:-]{1,64}")
+_call_id_pattern = re.compile("[0-9a-f]{16}")
+_uri_pattern = re.compile("sips?:([0-9A-Za-z._+-]{1,64})@[0-9A-Za-z.:-]{1,255}")
+_exchange_pattern = re.compile("[0-9A-Za-z._:-]{1,64}")
 
 
 class BadSetUp(Exception):
-    """A set-up that can't be used; the text names field and fault."""
+    """An invalid set-up request; the text names the header field and what is wrong with it."""
 
 
 @dataclass(slots=True, frozen=True)
 class SetUpRequest:
-    """A set-up as a caller has sent it; `patience` in nanoseconds; `at`: where it stands already."""
+    """A caller's set-up request.
+
+    `tag` is its Call-ID and `patience` the time in nanoseconds that the caller waits for the final answer.
+    `established_exchange` is the exchange where the call is established already, '' for a new call.
+    `cut_before` has the meaning that it has in `interface.CallArrived`; `description` is the body.
+    """
 
     tag: str
     bearer_type: str
@@ -35,59 +41,59 @@
     width: int
     via: int
     transit: bool
-    again: bool
-    at: str
+    cut_before: bool
+    established_exchange: str
     description: str
 
 
-def _whole(text: str, name: str, least: int, most: int) -> int:
+def _parse_integer(text: str, name: str, minimum: int, maximum: int) -> int:
     if len(text) > 12 or not text.isascii() or not text.removeprefix("-").isdigit():
-        raise BadSetUp(f"{name} is no whole number")
+        raise BadSetUp(f"{name}: '{text[:20]}' is not an integer")
     value = int(text)
-    if not least <= value <= most:
-        raise BadSetUp(f"{name} is not from {least} to {most}")
+    if not minimum <= value <= maximum:
+        raise BadSetUp(f"{name}: {value} is not from {minimum} to {maximum}")
     return value
 
 
 def read_set_up(message: sip.Message, bearer_types: frozenset[str]) -> SetUpRequest:
-    """Raises BadSetUp."""
+    """Returns the set-up request in an INVITE. Raises BadSetUp if a field is missing or invalid."""
     fields = message.fields
     tag = message.call_id
-    if _call_id.fullmatch(tag) is None:
-        raise BadSetUp("Call-ID is not 16 hexadecimal digits")
+    if _call_id_pattern.fullmatch(tag) is None:
+        raise BadSetUp(f"Call-ID: '{tag[:20]}' is not 16 lower-case hexadecimal digits")
     if not fields.get("cseq", "").endswith(" INVITE"):
-        raise BadSetUp("CSeq is not of an INVITE")
-    uri = _uri.fullmatch(message.uri)
+        raise BadSetUp("CSeq: the method is not INVITE")
+    uri = _uri_pattern.fullmatch(message.uri)
     if uri is None:
-        raise BadSetUp("the address is not sip:NUMBER@HOST")
+        raise BadSetUp("request URI: not sip:NUMBER@HOST")
     bearer_type = fields.get("x-cos", "")
     if bearer_type not in bearer_types:
-        raise BadSetUp("X-Cos names no bearer type")
+        raise BadSetUp(f"X-Cos: '{bearer_type[:20]}' is not a bearer type")
     legs: dict[str, str] = {}
     for part in fields.get("x-legs", "").split(";"):
         name, colon, value = part.strip().partition(":")
         if not colon or name in legs:
-            raise BadSetUp("X-Legs is not a row of name:value")
+            raise BadSetUp(f"X-Legs: '{part[:40]}' is not name:value with a new name")
         legs[name] = value
-    at = legs.get("at", "")
-    if at and _exchange.fullmatch(at) is None:
-        raise BadSetUp("X-Legs: at is no exchange")
+    established_exchange = legs.get("at", "")
+    if established_exchange and _exchange_pattern.fullmatch(established_exchange) is None:
+        raise BadSetUp(f"X-Legs: at: '{established_exchange[:40]}' is not the name of an exchange")
     try:
         description = message.body.decode()
     except UnicodeDecodeError:
-        raise BadSetUp("the description is not UTF-8") from None
+        raise BadSetUp("body: not UTF-8") from None
     if not description:
-        raise BadSetUp("no description")
+        raise BadSetUp("body: no description")
     return SetUpRequest(
         tag,
         bearer_type,
         uri[1],
-        _whole(fields.get("x-timer-ms", ""), "X-Timer-Ms", 1, MOST_TIMER) * MS,
-        _whole(legs.get("dest", ""), "X-Legs: dest", 0, 1 << 31),
-        _whole(legs.get("width", "1"), "X-Legs: width", 1, MOST_WIDTH),
-        _whole(legs.get("via", "-1"), "X-Legs: via", -1, 1 << 31),
-        _whole(legs.get("transit", "0"), "X-Legs: transit", 0, 1) == 1,
-        _whole(legs.get("again", "0"), "X-Legs: again", 0, 1) == 1,
-        at,
+        _parse_integer(fields.get("x-timer-ms", ""), "X-Timer-Ms", 1, MAX_TIMER_MS) * MS,
+        _parse_integer(legs.get("dest", ""), "X-Legs: dest", 0, 1 << 31),
+        _parse_integer(legs.get("width", "1"), "X-Legs: width", 1, MAX_WIDTH),
+        _parse_integer(legs.get("via", "-1"), "X-Legs: via", -1, 1 << 31),
+        _parse_integer(legs.get("transit", "0"), "X-Legs: transit", 0, 1) == 1,
+        _parse_integer(legs.get("again", "0"), "X-Legs: again", 0, 1) == 1,
+        established_exchange,
         description,
     )
--- a/tests/platform/test_config.py
+++ b/tests/platform/test_config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: read whole, or refused with place and fault."""
+"""The platform's configuration: valid ones are read, invalid ones rejected with the place at fault."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 MS = 1_000_000
 
 
-def test_what_is_read() -> None:
+def test_a_valid_configuration_is_read() -> None:
     config = read(config_text(seed="00ff"))
     assert (config.name, config.listen, config.feed) == ("n0", "127.0.0.1:3868", "127.0.2.1:9092")
     assert (config.seed, config.sockets, set(config.bearer_types)) == (255, 96, {"line"})
@@ -21,7 +21,7 @@
 
 
 def without(name: str, **more: Any) -> dict[str, Any]:
-    """The settings with this part replaced, left out where nothing is given."""
+    """Returns the settings without the part `name`, or with it replaced."""
     return {key: value for key, value in SETTINGS.items() if key != name} | more
 
 
@@ -49,18 +49,18 @@
         ({"settings": without("Rules", Rules={"ColdUs": "soon"})}, "settings"),
     ],
 )
-def test_each_fault_is_named_with_its_place(more: dict[str, Any], place: str) -> None:
+def test_each_invalid_value_is_reported_with_its_place(more: dict[str, Any], place: str) -> None:
     with pytest.raises(BadConfig, match=place):
         read(config_text(**more))
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "[" * 100_000, '"text"', "{}"])
-def test_what_is_no_configuration(text: str) -> None:
+def test_text_that_is_not_a_configuration_is_rejected(text: str) -> None:
     with pytest.raises(BadConfig):
         read(text)
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path: Any) -> None:
+def test_an_unreadable_file_is_reported_with_its_path(tmp_path: Any) -> None:
     with pytest.raises(BadConfig, match="none.json: No such file"):
         load(str(tmp_path / "none.json"))
     (tmp_path / "a.json").write_bytes(json.dumps({}).encode("utf-16"))
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -112,7 +112,7 @@
     assert process.stderr is not None
     logged = [json.loads(line) for line in process.stderr.read().splitlines()]
     assert [one["text"] for one in logged if one["level"] == "error"] == [
-        "the configuration can't be used; the old one stays"
+        "invalid configuration, keeping the old one"
     ]
 
 
