--- a/peattrestle/feed/state.py
+++ b/peattrestle/feed/state.py
@@ -110,9 +110,11 @@
             known = msgspec.convert(tree, _KnownEvents)
         except msgspec.ValidationError as error:
             raise BadFeed(f"known: {error}") from None
-        fresh = [(event.n, _change(event)) for event in known.events if event.n > self.last]
-        self.last = max(self.last, known.n, *(n for n, _ in fresh)) if fresh else max(self.last, known.n)
-        return [change for _, change in fresh if change is not None]
+        new_events = [(event.n, _change(event)) for event in known.events if event.n > self.last]
+        self.last = (
+            max(self.last, known.n, *(n for n, _ in new_events)) if new_events else max(self.last, known.n)
+        )
+        return [change for _, change in new_events if change is not None]
 
     def on_request(self) -> None:
         """Notes that the feed is requested from `last`: the first event then shows whether a gap remains."""
