--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -214,14 +214,14 @@
         """Accepts a call. From here on the agent guarantees exactly one final answer for it."""
         self.calls[call.id] = call
         if self.tracing:
-            patience = (call.abandon_at - call.arrived) // 1_000_000
+            patience_ms = (call.abandon_at - call.arrived) // 1_000_000
             fields = {"destination": arrived.destination, "in_transit": arrived.transit}
             self.log(
                 "debug",
                 "call taken",
                 call=call.id,
                 reference=self.named(call),
-                patience_ms=patience,
+                patience_ms=patience_ms,
                 **fields,
             )
         self.guard.arrived(call.id, call.abandon_at)
--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -7,9 +7,9 @@
 A link has two connections, so that a corrupted, reset or silently dropped one affects only its part of the
 pending set-ups. A connection may go silent while its exchange is healthy. It is probed after being quiet for
 a multiple of its average gap between signs of life, or earlier when the other connection receives load
-reports, which are sent on both; it is closed if the probe gets no response. Reconnecting starts at once. Set-
-ups that find no connection wait for the new one: a lost connection says nothing about the exchange, a failed
-connect does. All times are nanoseconds.
+reports, which are sent on both; it is closed if the probe gets no response. Reconnecting starts at once.
+Set-ups that find no connection wait for the new one: a lost connection says nothing about the exchange, a
+failed connect does. All times are nanoseconds.
 """
 
 from __future__ import annotations
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -198,8 +198,8 @@
         data = b""
         while b"\r\n\r\n" not in data:
             data += yield from stream.read()
-        asked = next(row for row in data.decode().split("\r\n") if row.lower().startswith("last-event-id"))
-        self.requested_from.append(int(asked.split(":")[1]))
+        header = next(row for row in data.decode().split("\r\n") if row.lower().startswith("last-event-id"))
+        self.requested_from.append(int(header.split(":")[1]))
         stream.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         for piece in self.script.pop(0) if self.script else [b""]:
             if isinstance(piece, int):
@@ -610,7 +610,7 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "asked_from", "state"),
+    ("script", "requested_from", "state"),
     [
         ([[DRAINING_EVENT]], [1], "draining"),
         ([[encode_event(1, host("s1", 1, "DELETED")), DRAINING_EVENT]], [1], "draining"),
@@ -622,13 +622,13 @@
     ],
     ids=["told", "repeated", "half", "gap", "spoilt", "stopped", "broken off"],
 )  # fmt: skip
-def test_the_feed_is_followed(script: list[list[bytes | int]], asked_from: list[int], state: str) -> None:
+def test_the_feed_is_followed(script: list[list[bytes | int]], requested_from: list[int], state: str) -> None:
     harness = Harness()
     other = Feed(harness, "127.0.2.2:9092")
     other.script = script
     harness.agent.reload(configuration.read(config_text(feed="127.0.2.2:9092")))
     harness.advance(3500)
-    assert other.requested_from[: len(asked_from)] == asked_from
+    assert other.requested_from[: len(requested_from)] == requested_from
     assert harness.agent.members["s1"].state == state
     harness.caller(invite())
     assert "START" not in harness.exchanges[1].received_verbs()
@@ -965,8 +965,8 @@
     # Each invalid request gets its error while the first call is established.
     invalid = [(harness.caller(data), status) for data, status in INVALID_REQUESTS.values()]
     harness.until(lambda: all([m.status for m in caller.messages] == [status] for caller, status in invalid))
-    again = harness.caller(invite("00000000000000aa"))
-    harness.until(lambda: again.statuses() == [482])
+    duplicate = harness.caller(invite("00000000000000aa"))
+    harness.until(lambda: duplicate.statuses() == [482])
     # An invalid line ends the pending try; the established call is released on the next connection.
     exchange.on_set_up = lambda stream, line: stream.write(b"noise\n")
     failed = harness.caller(invite("00000000000000bb", X_Timer_Ms="5000"))
