--- a/peattrestle/membership/__init__.py
+++ b/peattrestle/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which exchanges there are: from a registry's keys to the list that the module is told. No I/O, no clock."""
+"""Turns registry keys into the list of exchanges that the router may use. No I/O and no clock."""
--- a/peattrestle/membership/entries.py
+++ b/peattrestle/membership/entries.py
@@ -1,4 +1,4 @@
-"""One exchange as a registry's value: JSON under PREFIX/NAME."""
+"""Parses a registry entry: one exchange as a JSON object, stored under the key PREFIX + NAME."""
 
 from __future__ import annotations
 
@@ -7,17 +7,20 @@
 
 import msgspec
 
-MOST_VALUE = 4096
-NAME = re.compile(r"[A-Za-z0-9_.\-]{1,64}")
-ADDRESS = re.compile(r"[A-Za-z0-9_.\-]{1,255}:[0-9]{1,5}")
+MAX_VALUE_BYTES = 4096
+NAME_PATTERN = re.compile(r"[A-Za-z0-9_.\-]{1,64}")
+ADDRESS_PATTERN = re.compile(r"[A-Za-z0-9_.\-]{1,255}:[0-9]{1,5}")
 
 
 class BadEntry(Exception):
-    """The text names the key and what is wrong with it."""
+    """An entry that is not valid; the message names the exchange or key and the field at fault."""
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """`started`: seconds since 1970 at which the exchange began to run, 0 for not known."""
+    """The value of one key: an exchange's number, state, address as host:port, zone and start time.
+
+    `started`: when the exchange started, in seconds since 1970 (Unix time); 0 if not known.
+    """
 
     number: int
     state: Literal["ready", "draining", "gone"] = "ready"
@@ -26,23 +29,24 @@
     started: float = 0.0
 
 
-def read(prefix: bytes, key: bytes, value: bytes) -> tuple[str, Entry]:
-    """The exchange's name and entry. Raises BadEntry. Fields that are not known are passed over."""
+def parse_entry(prefix: bytes, key: bytes, value: bytes) -> tuple[str, Entry]:
+    """Returns the exchange's name and its entry; unknown fields are ignored. Raises `BadEntry`."""
     name = key[len(prefix) :].decode("ascii", "replace")
-    if not key.startswith(prefix) or NAME.fullmatch(name) is None:
-        raise BadEntry(f"{key[:100]!r}: no name of an exchange")
-    if len(value) > MOST_VALUE:
-        raise BadEntry(f"{name}: {len(value)} bytes, at most {MOST_VALUE}")
+    if not key.startswith(prefix) or NAME_PATTERN.fullmatch(name) is None:
+        raise BadEntry(f"{key[:100]!r}: no valid exchange name after the prefix {prefix!r}")
+    if len(value) > MAX_VALUE_BYTES:
+        raise BadEntry(f"{name}: value of {len(value)} bytes, at most {MAX_VALUE_BYTES}")
     try:
         entry: Entry = msgspec.json.decode(value, type=Entry)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise BadEntry(f"{name}: {fault}") from None
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise BadEntry(f"{name}: {error}") from None
     if not 0 <= entry.number <= 1_000_000:
-        raise BadEntry(f"{name}: number {entry.number}, from 0 to 1000000")
+        raise BadEntry(f"{name}: number {entry.number} is not from 0 to 1000000")
     if entry.address and (
-        ADDRESS.fullmatch(entry.address) is None or not 0 < int(entry.address.rpartition(":")[2]) < 65536
+        ADDRESS_PATTERN.fullmatch(entry.address) is None
+        or not 0 < int(entry.address.rpartition(":")[2]) < 65536
     ):
-        raise BadEntry(f"{name}: address {entry.address[:80]!r}, as host:port")
+        raise BadEntry(f"{name}: address {entry.address[:80]!r} is not host:port")
     if not 0 <= entry.started < 1e11:
-        raise BadEntry(f"{name}: started {entry.started}, as seconds since 1970")
+        raise BadEntry(f"{name}: started {entry.started} is not a time in seconds since 1970")
     return name, entry
--- a/peattrestle/membership/roll.py
+++ b/peattrestle/membership/roll.py
@@ -1,17 +1,19 @@
-"""The roll of exchanges: what a registry's changes mean for the list that the module is told.
-
-Decided here, each argued in docs/membership.md:
-
-- a drain and a removal count at once, a return may be delayed: an exchange that flaps is taken back later
-  and later, up to `MOST_DELAY`;
-- what can't be read is named and kept out; where it was good before, what it was goes on until it can be
-  read or is deleted: a slip of the pen must not take an exchange away, nor bring one;
-- of two that claim one number, the one created later has it, if ready; the other counts as draining;
-- a registry that loses at once more than half of the exchanges, three at least, is taken for broken, not
-  for a word that they are gone: they are kept as doubtful until the registry says the same for `DOUBT` on,
-  has them again, or says of one by itself that it drains. Draining ones are never kept;
-- more than `MOST` exchanges are not taken in, and named;
-- how old the list is known to be goes with it (`vouched_at`).
+"""Decides which exchanges the router may use, from the changes in a key-value registry.
+
+The rules, each argued in docs/membership.md:
+
+- Draining and removal take effect at once. A return to ready may be delayed: an exchange that flaps is
+  readmitted after an exponentially growing delay, up to `MAX_READMISSION_DELAY_NS`.
+- An entry that can't be parsed is logged and ignored. The last valid entry of that exchange stays in force
+  until the key can be parsed again or is deleted, so a typing error neither removes an exchange nor adds one.
+- Of two ready exchanges that claim the same number, the one whose key was created later gets it. The other
+  one is published as draining.
+- A registry that loses more than half of the exchanges at once, and at least three, is presumed faulty. The
+  missing exchanges stay published as doubtful until the registry has reported them missing for
+  `REMOVAL_CONFIRMATION_NS`, lists them again, or reports one of them as draining. Draining exchanges are
+  never kept in this way.
+- At most `MAX_EXCHANGES` exchanges are accepted. Further ones are logged and ignored.
+- `confirmed_at` is the time at which the registry last confirmed the list.
 """
 
 from __future__ import annotations
@@ -21,14 +23,14 @@
 
 from msgspec import structs
 
-from peattrestle.membership.entries import BadEntry, Entry, read
+from peattrestle.membership.entries import BadEntry, Entry, parse_entry
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # nanoseconds
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
-    """An exchange as it counts now. `created`: the revision that its key has existed from."""
+    """An exchange with its entry in force. `created`: the registry revision that created its key."""
 
     name: str
     entry: Entry
@@ -37,176 +39,213 @@
 
 @dataclass(slots=True, frozen=True)
 class Told:
-    """What to tell: `members` whose word has changed, gone ones with state 'gone'; `notes` for the log."""
+    """Changes to publish: `members` whose entry changed (removed ones have the state 'gone'), and `notes`,
+    the messages for the log."""
 
     members: tuple[Member, ...] = ()
     notes: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
-class _Known:
+class _TrackedExchange:
+    """Times are nanoseconds of the caller's clock."""
+
     member: Member
-    counts: Entry  # what the module was told
-    doubtful_since: int = -1
-    flaps: int = 0
-    left_at: int = 0
-    back_at: int = 0  # not taken back before this
+    published: Entry
+    doubtful_since: int = -1  # -1: not missing from the registry
+    flap_count: int = 0
+    left_at: int = 0  # when it stopped being ready
+    readmit_at: int = 0  # a ready exchange is not published as ready before this
 
 
 class Roll:
-    """All times are nanoseconds. `prefix` is the keys' common begin."""
+    """Tracks the exchanges in the registry and returns the changes to publish.
+
+    Times are nanoseconds of the caller's clock. `prefix` is the common prefix of the exchanges' keys.
+    """
 
-    DOUBT = 30 * SECOND
-    MOST = 10_000  # exchanges
-    FEWEST_LOST = 3
-    LOST_SHARE = 0.5
-    LOST_WITHIN = 2 * SECOND  # removals in this time count as at once
-    FLAP_WITHIN = 60 * SECOND  # a return sooner after leaving than this is a flap
-    FIRST_DELAY, MOST_DELAY = 1 * SECOND, 60 * SECOND
+    REMOVAL_CONFIRMATION_NS = 30 * SECOND
+    MAX_EXCHANGES = 10_000
+    MIN_MASS_LOSS = 3  # exchanges
+    MASS_LOSS_SHARE = 0.5  # of the exchanges that were ready
+    MASS_LOSS_WINDOW_NS = 2 * SECOND  # removals within this time count as simultaneous
+    FLAP_WINDOW_NS = 60 * SECOND  # a return within this time after leaving is a flap
+    FIRST_READMISSION_DELAY_NS, MAX_READMISSION_DELAY_NS = 1 * SECOND, 60 * SECOND
 
     def __init__(self, prefix: bytes) -> None:
         self.prefix = prefix
-        self.vouched_at = -1
-        self.known: dict[str, _Known] = {}
-        self.bad: dict[str, str] = {}
-        self._removed: list[tuple[int, str]] = []
+        self.confirmed_at = -1
+        self.exchanges: dict[str, _TrackedExchange] = {}
+        self.invalid_entries: dict[str, str] = {}
+        self._recent_removals: list[tuple[int, str]] = []
 
     def vouch(self, now: int) -> None:
-        """The registry has said, now, that what is held is all there is."""
-        self.vouched_at = now
+        """Records that the registry confirmed at `now` that nothing has changed."""
+        self.confirmed_at = now
 
     def apply(self, now: int, changes: Iterable[tuple[bytes, bytes | None, int]]) -> Told:
-        """Changes of one moment: key, value or None where deleted, revision of creation."""
+        """Applies changes that arrived together, and returns what to publish.
+
+        Each change is the key, its value (None if deleted) and the revision that created the key.
+        """
         notes: list[str] = []
         gone: dict[str, None] = {}
         for key, value, created in changes:
             name = key[len(self.prefix) :].decode("ascii", "replace")
             if value is None:
-                self.bad.pop(name, None)
-                if name in self.known:
+                self.invalid_entries.pop(name, None)
+                if name in self.exchanges:
                     gone[name] = None
                 continue
             try:
-                name, entry = read(self.prefix, key, value)
-            except BadEntry as fault:
-                if self.bad.get(name) != str(fault):
-                    if len(self.bad) < 1000:
-                        self.bad[name] = str(fault)
-                    kept = "; what it was goes on" if name in self.known else ""
-                    notes.append(f"unreadable: {fault}{kept}")
+                name, entry = parse_entry(self.prefix, key, value)
+            except BadEntry as error:
+                if self.invalid_entries.get(name) != str(error):
+                    if len(self.invalid_entries) < 1000:
+                        self.invalid_entries[name] = str(error)
+                    kept = "; its last valid entry stays in force" if name in self.exchanges else ""
+                    notes.append(f"invalid entry ignored: {error}{kept}")
                 continue
-            if name not in self.known and len(self.known) >= self.MOST:
-                notes.append(f"{name}: kept out, there are {self.MOST} exchanges")
+            if name not in self.exchanges and len(self.exchanges) >= self.MAX_EXCHANGES:
+                notes.append(f"{name}: ignored, the limit of {self.MAX_EXCHANGES} exchanges is reached")
                 continue
-            if self.bad.pop(name, None) is not None:
-                notes.append(f"{name}: readable again")
-            if name in gone:  # deleted and put again in one moment: it left, and it is here
+            if self.invalid_entries.pop(name, None) is not None:
+                notes.append(f"{name}: entry is valid again")
+            if name in gone:  # deleted and put again within one batch: it left and is present
                 del gone[name]
-                self._leave(now, self.known[name])
-            self._take(now, Member(name, entry, created), notes)
+                self._mark_gone(now, self.exchanges[name])
+            self._update(now, Member(name, entry, created), notes)
         self._remove(now, list(gone), notes)
-        self.vouched_at = now
+        self.confirmed_at = now
         return self.look(now, notes)
 
-    def _take(self, now: int, member: Member, notes: list[str]) -> None:
-        one = self.known.get(member.name)
-        if one is None:
-            self.known[member.name] = _Known(member, Entry(member.entry.number, "gone"))
+    def _update(self, now: int, member: Member, notes: list[str]) -> None:
+        exchange = self.exchanges.get(member.name)
+        if exchange is None:
+            self.exchanges[member.name] = _TrackedExchange(member, Entry(member.entry.number, "gone"))
             return
-        was_away = one.doubtful_since < 0 and one.member.entry.state != "ready"
-        if one.doubtful_since >= 0:
-            notes.append(f"{member.name}: there again")
-            one.doubtful_since = -1
+        was_away = exchange.doubtful_since < 0 and exchange.member.entry.state != "ready"
+        if exchange.doubtful_since >= 0:
+            notes.append(f"{member.name}: listed by the registry again")
+            exchange.doubtful_since = -1
         elif was_away and member.entry.state == "ready":
-            self._returns(now, one, notes)
-        elif one.member.entry.state == "ready" and member.entry.state != "ready":
-            one.left_at = now
-        one.member = member
-
-    def _returns(self, now: int, one: _Known, notes: list[str]) -> None:
-        """A return soon after leaving is a flap, unless the exchange started anew in between."""
-        if now - one.left_at >= self.FLAP_WITHIN:
-            one.flaps = 0
+            self._record_return(now, exchange, notes)
+        elif exchange.member.entry.state == "ready" and member.entry.state != "ready":
+            exchange.left_at = now
+        exchange.member = member
+
+    def _record_return(self, now: int, exchange: _TrackedExchange, notes: list[str]) -> None:
+        """Counts a return within `FLAP_WINDOW_NS` as a flap and delays readmission from the second on."""
+        if now - exchange.left_at >= self.FLAP_WINDOW_NS:
+            exchange.flap_count = 0
             return
-        one.flaps += 1
-        if one.flaps > 1:
-            delay = min(self.MOST_DELAY, self.FIRST_DELAY << min(one.flaps - 2, 10))
-            one.back_at = now + delay
-            notes.append(f"{one.member.name}: back {one.flaps} times, taken back in {delay / SECOND:g} s")
+        exchange.flap_count += 1
+        if exchange.flap_count > 1:
+            delay = min(
+                self.MAX_READMISSION_DELAY_NS,
+                self.FIRST_READMISSION_DELAY_NS << min(exchange.flap_count - 2, 10),
+            )
+            exchange.readmit_at = now + delay
+            notes.append(
+                f"{exchange.member.name}: flapping, returned {exchange.flap_count} times; "
+                f"readmitted in {delay / SECOND:g} s"
+            )
 
     def _remove(self, now: int, gone: list[str], notes: list[str]) -> None:
-        self._removed = [(at, name) for at, name in self._removed if at > now - self.LOST_WITHIN]
-        ready = [name for name in gone if self.known[name].member.entry.state == "ready"]
-        now_ready = {name for name, one in self.known.items() if one.member.entry.state == "ready"}
-        before = {name for _, name in self._removed}
-        lost, there = len(before.union(ready)), len(before | now_ready)
-        broken = bool(ready) and lost >= self.FEWEST_LOST and lost > self.LOST_SHARE * there
+        """Removes the exchanges named in `gone`, or keeps the ready ones as doubtful after a mass loss."""
+        self._recent_removals = [
+            (at, name) for at, name in self._recent_removals if at > now - self.MASS_LOSS_WINDOW_NS
+        ]
+        ready = [name for name in gone if self.exchanges[name].member.entry.state == "ready"]
+        now_ready = {
+            name for name, exchange in self.exchanges.items() if exchange.member.entry.state == "ready"
+        }
+        before = {name for _, name in self._recent_removals}
+        lost, total = len(before.union(ready)), len(before | now_ready)
+        mass_loss = bool(ready) and lost >= self.MIN_MASS_LOSS and lost > self.MASS_LOSS_SHARE * total
         for name in gone:
-            one = self.known[name]
-            if broken and name in ready:
-                if one.doubtful_since < 0:
-                    one.doubtful_since = now
+            exchange = self.exchanges[name]
+            if mass_loss and name in ready:
+                if exchange.doubtful_since < 0:
+                    exchange.doubtful_since = now
             else:
-                self._leave(now, one)
-        self._removed += [(now, name) for name in ready]
-        if broken:
-            notes.append(f"the registry lost {lost} of {there} exchanges at once: kept as doubtful")
-
-    def _leave(self, now: int, one: _Known) -> None:
-        if one.member.entry.state == "ready":
-            one.left_at = now
-        one.doubtful_since = -1
-        one.member = replace(one.member, entry=structs.replace(one.member.entry, state="gone"))
+                self._mark_gone(now, exchange)
+        self._recent_removals += [(now, name) for name in ready]
+        if mass_loss:
+            notes.append(
+                f"the registry lost {lost} of {total} exchanges at once: kept as doubtful "
+                f"until confirmed for {self.REMOVAL_CONFIRMATION_NS // SECOND} s"
+            )
+
+    def _mark_gone(self, now: int, exchange: _TrackedExchange) -> None:
+        if exchange.member.entry.state == "ready":
+            exchange.left_at = now
+        exchange.doubtful_since = -1
+        exchange.member = replace(exchange.member, entry=structs.replace(exchange.member.entry, state="gone"))
 
     def look(self, now: int, notes: list[str] | None = None) -> Told:
-        """What is to be told by now; also what became due since: doubt that has lasted, returns."""
-        out, notes = [], notes if notes is not None else []
-        for one in self.known.values():
-            if 0 <= one.doubtful_since <= now - self.DOUBT:
+        """Returns the changes to publish at `now`, with removals confirmed and readmissions due by then."""
+        changed, notes = [], notes if notes is not None else []
+        for exchange in self.exchanges.values():
+            if 0 <= exchange.doubtful_since <= now - self.REMOVAL_CONFIRMATION_NS:
                 notes.append(
-                    f"{one.member.name}: gone, the registry has said so for {self.DOUBT // SECOND} s"
+                    f"{exchange.member.name}: removed, missing from the registry "
+                    f"for {self.REMOVAL_CONFIRMATION_NS // SECOND} s"
                 )
-                self._leave(now, one)
-        holders = self._holders(notes)
-        for name, one in self.known.items():
-            entry = one.member.entry
-            if entry.state == "ready" and now < one.back_at and one.counts.state != "ready":
-                entry = structs.replace(entry, state=one.counts.state)
-            elif entry.state == "ready" and holders[entry.number] != name:
+                self._mark_gone(now, exchange)
+        owners = self._number_owners(notes)
+        for name, exchange in self.exchanges.items():
+            entry = exchange.member.entry
+            if entry.state == "ready" and now < exchange.readmit_at and exchange.published.state != "ready":
+                entry = structs.replace(entry, state=exchange.published.state)
+            elif entry.state == "ready" and owners[entry.number] != name:
                 entry = structs.replace(entry, state="draining")
-            if entry != one.counts:
-                one.counts = entry
-                out.append(replace(one.member, entry=entry))
-        for name in [name for name, one in self.known.items() if self._forgettable(now, one)]:
-            del self.known[name]
-        return Told(tuple(out), tuple(notes))
-
-    def _forgettable(self, now: int, one: _Known) -> bool:
-        return one.member.entry.state == "gone" and now - one.left_at > self.FLAP_WITHIN
-
-    def _holders(self, notes: list[str]) -> dict[int, str]:
-        """Whose each number is: of those ready the one created last, by name where that is the same."""
-        out: dict[int, str] = {}
-        for name, one in self.known.items():
-            if one.member.entry.state != "ready":
+            if entry != exchange.published:
+                exchange.published = entry
+                changed.append(replace(exchange.member, entry=entry))
+        for name in [name for name, exchange in self.exchanges.items() if self._is_expired(now, exchange)]:
+            del self.exchanges[name]
+        return Told(tuple(changed), tuple(notes))
+
+    def _is_expired(self, now: int, exchange: _TrackedExchange) -> bool:
+        """Whether a removed exchange can be forgotten: a later return would not be a flap."""
+        return exchange.member.entry.state == "gone" and now - exchange.left_at > self.FLAP_WINDOW_NS
+
+    def _number_owners(self, notes: list[str]) -> dict[int, str]:
+        """Maps each number to the ready exchange with the newest key; of equally new ones, the last name."""
+        owners: dict[int, str] = {}
+        for name, exchange in self.exchanges.items():
+            if exchange.member.entry.state != "ready":
                 continue
-            other = out.get(one.member.entry.number)
-            if other is None or (one.member.created, name) > (self.known[other].member.created, other):
-                out[one.member.entry.number] = name
+            other = owners.get(exchange.member.entry.number)
+            if other is None or (exchange.member.created, name) > (
+                self.exchanges[other].member.created,
+                other,
+            ):
+                owners[exchange.member.entry.number] = name
                 loser = other
             else:
                 loser = name
-            if loser is not None and self.known[loser].counts.state == "ready":
-                winner = out[one.member.entry.number]
-                notes.append(f"{loser} and {winner} both claim {one.member.entry.number}: {winner} is newer")
-        return out
+            if loser is not None and self.exchanges[loser].published.state == "ready":
+                winner = owners[exchange.member.entry.number]
+                notes.append(
+                    f"{loser} and {winner} both claim number {exchange.member.entry.number}: "
+                    f"the key of {winner} is newer"
+                )
+        return owners
 
     def due(self) -> int:
-        """When `look` may have something to tell though nothing came; -1 for never."""
-        times = [one.doubtful_since + self.DOUBT for one in self.known.values() if one.doubtful_since >= 0]
+        """When `look` must be called even without a change; -1 if nothing is pending."""
+        times = [
+            exchange.doubtful_since + self.REMOVAL_CONFIRMATION_NS
+            for exchange in self.exchanges.values()
+            if exchange.doubtful_since >= 0
+        ]
         times += [
-            one.back_at
-            for one in self.known.values()
-            if one.member.entry.state == "ready" and one.counts.state != "ready" and one.back_at
+            exchange.readmit_at
+            for exchange in self.exchanges.values()
+            if exchange.member.entry.state == "ready"
+            and exchange.published.state != "ready"
+            and exchange.readmit_at
         ]
         return min(times, default=-1)
--- a/tests/registry/test_roll.py
+++ b/tests/registry/test_roll.py
@@ -1,4 +1,4 @@
-"""The roll: what changes in a registry mean, and what they don't."""
+"""The exchange list derived from registry changes: drains, flaps, invalid entries, mass loss."""
 
 from __future__ import annotations
 
@@ -7,21 +7,23 @@
 
 import pytest
 
-from peattrestle.membership.entries import BadEntry, read
+from peattrestle.membership.entries import BadEntry, parse_entry
 from peattrestle.membership.roll import Roll, Told
 
 SECOND = 1_000_000_000
 PREFIX = b"/hubs/"
 
 
-class Book:
+class PublishedList:
+    """Applies changes to a `Roll` and keeps the exchange list that results: number and state by name."""
+
     def __init__(self) -> None:
         self.roll = Roll(PREFIX)
         self.revision = 0
         self.list: dict[str, tuple[int, str]] = {}
 
-    def at(self, seconds: float, **entries: Any) -> Told:
-        """NAME=None deletes, a dict puts; what was told is laid on the list."""
+    def apply(self, seconds: float, **entries: Any) -> Told:
+        """Applies changes at a time in seconds: NAME=None deletes a key, NAME={...} puts it."""
         changes = []
         for name, value in entries.items():
             self.revision += 1
@@ -29,26 +31,26 @@
                 None if value is None else value if isinstance(value, bytes) else json.dumps(value).encode()
             )
             changes.append((PREFIX + name.encode(), data, self.revision))
-        return self.lay(self.roll.apply(round(seconds * SECOND), changes))
+        return self.record(self.roll.apply(round(seconds * SECOND), changes))
 
     def look(self, seconds: float) -> Told:
-        return self.lay(self.roll.look(round(seconds * SECOND)))
+        return self.record(self.roll.look(round(seconds * SECOND)))
 
-    def lay(self, told: Told) -> Told:
-        for member in told.members:
+    def record(self, update: Told) -> Told:
+        for member in update.members:
             self.list[member.name] = (member.entry.number, member.entry.state)
-        return told
+        return update
 
     def states(self) -> dict[str, str]:
         return {name: state for name, (_, state) in self.list.items()}
 
 
-def hubs(count: int, **more: Any) -> dict[str, Any]:
-    return {f"x{number}": {"number": number} | more for number in range(count)}
+def ready_exchanges(count: int, **fields: Any) -> dict[str, Any]:
+    return {f"x{number}": {"number": number} | fields for number in range(count)}
 
 
 @pytest.mark.parametrize(
-    ("value", "fault"),
+    ("value", "error"),
     [
         (b'{"number": 4}', ""),
         (b'{"number": 4, "state": "draining", "address": "127.0.0.1:2944", "later": [1]}', ""),
@@ -65,147 +67,155 @@
         (b'{"number": 4, "zone": "' + b"z" * 5000 + b'"}', "at most"),
     ],
 )
-def test_entries(value: bytes, fault: str) -> None:
-    if fault:
-        with pytest.raises(BadEntry, match=fault):
-            read(PREFIX, PREFIX + b"x4", value)
+def test_entries(value: bytes, error: str) -> None:
+    if error:
+        with pytest.raises(BadEntry, match=error):
+            parse_entry(PREFIX, PREFIX + b"x4", value)
     else:
-        name, entry = read(PREFIX, PREFIX + b"x4", value)
+        name, entry = parse_entry(PREFIX, PREFIX + b"x4", value)
         assert (name, entry.number) == ("x4", 4)
 
 
-def test_names_that_are_none() -> None:
+def test_invalid_exchange_names() -> None:
     for key in (b"/hubs/", b"/hubs/a/b", b"/other/x", b"/hubs/" + b"x" * 65, b"/hubs/\xff"):
         with pytest.raises(BadEntry):
-            read(PREFIX, key, b'{"number": 1}')
-
-
-def test_drains_and_removals_count_at_once_and_only_what_changed_is_told() -> None:
-    book = Book()
-    book.at(0, **hubs(5))
-    assert set(book.states().values()) == {"ready"}
-    told = book.at(1, x1={"number": 1, "state": "draining"})
-    assert [(one.name, one.entry.state) for one in told.members] == [("x1", "draining")]
-    assert book.at(2, x2=None).members[0].entry.state == "gone"
-    assert book.at(3, x3={"number": 3}).members == ()  # written again, as it was
-    assert book.at(4, x3={"number": 3, "address": "127.0.0.1:9"}).members[0].entry.address == "127.0.0.1:9"
-    assert book.at(4, x3={"number": 3, "started": 5.0}).members[0].entry.started == 5.0
-
-
-def test_what_cannot_be_read_takes_nothing_away_and_brings_nothing() -> None:
-    book = Book()
-    book.at(0, **hubs(3))
-    told = book.at(1, x1=b"{", x9=b"{", x2={"number": 2, "state": "draining"})
-    assert book.states() == {"x0": "ready", "x1": "ready", "x2": "draining"}
-    assert len(told.notes) == 2 and "what it was goes on" in told.notes[0]
-    assert book.at(2, x1=b"{").notes == ()  # said once
-    assert "readable again" in book.at(3, x1={"number": 1}).notes[0]
-    book.at(4, x1=b"{")
-    book.at(5, x1=None)
-    assert book.states()["x1"] == "gone"
-
-
-def test_of_two_that_claim_a_number_the_newer_has_it_while_it_is_ready() -> None:
-    book = Book()
-    book.at(0, old={"number": 4})
-    told = book.at(1, new={"number": 4})
-    assert book.states() == {"old": "draining", "new": "ready"} and "both claim 4" in told.notes[0]
-    book.at(2, new={"number": 4, "state": "draining"})
-    assert book.states() == {"old": "ready", "new": "draining"}
+            parse_entry(PREFIX, key, b'{"number": 1}')
+
+
+def test_drains_and_removals_take_effect_at_once_and_only_changes_are_published() -> None:
+    exchange_list = PublishedList()
+    exchange_list.apply(0, **ready_exchanges(5))
+    assert set(exchange_list.states().values()) == {"ready"}
+    update = exchange_list.apply(1, x1={"number": 1, "state": "draining"})
+    assert [(member.name, member.entry.state) for member in update.members] == [("x1", "draining")]
+    assert exchange_list.apply(2, x2=None).members[0].entry.state == "gone"
+    assert exchange_list.apply(3, x3={"number": 3}).members == ()  # written again without a change
+    assert (
+        exchange_list.apply(4, x3={"number": 3, "address": "127.0.0.1:9"}).members[0].entry.address
+        == "127.0.0.1:9"
+    )
+    assert exchange_list.apply(4, x3={"number": 3, "started": 5.0}).members[0].entry.started == 5.0
+
+
+def test_an_invalid_entry_neither_removes_nor_adds_an_exchange() -> None:
+    exchange_list = PublishedList()
+    exchange_list.apply(0, **ready_exchanges(3))
+    update = exchange_list.apply(1, x1=b"{", x9=b"{", x2={"number": 2, "state": "draining"})
+    assert exchange_list.states() == {"x0": "ready", "x1": "ready", "x2": "draining"}
+    assert len(update.notes) == 2 and "its last valid entry stays in force" in update.notes[0]
+    assert exchange_list.apply(2, x1=b"{").notes == ()  # logged once
+    assert "valid again" in exchange_list.apply(3, x1={"number": 1}).notes[0]
+    exchange_list.apply(4, x1=b"{")
+    exchange_list.apply(5, x1=None)
+    assert exchange_list.states()["x1"] == "gone"
+
+
+def test_of_two_exchanges_with_one_number_the_newer_has_it_while_it_is_ready() -> None:
+    exchange_list = PublishedList()
+    exchange_list.apply(0, old={"number": 4})
+    update = exchange_list.apply(1, new={"number": 4})
+    assert (
+        exchange_list.states() == {"old": "draining", "new": "ready"}
+        and "both claim number 4" in update.notes[0]
+    )
+    exchange_list.apply(2, new={"number": 4, "state": "draining"})
+    assert exchange_list.states() == {"old": "ready", "new": "draining"}
 
 
 @pytest.mark.parametrize(
-    ("count", "lost", "doubted"), [(8, 5, True), (8, 4, False), (3, 3, True), (2, 2, False)]
+    ("count", "lost", "kept"), [(8, 5, True), (8, 4, False), (3, 3, True), (2, 2, False)]
 )
-def test_a_registry_that_loses_most_at_once_is_doubted(count: int, lost: int, doubted: bool) -> None:
-    book = Book()
-    book.at(0, **hubs(count))
-    told = book.at(1, **{f"x{number}": None for number in range(lost)})
-    gone = [name for name, state in book.states().items() if state == "gone"]
-    assert (gone == []) is doubted and bool(told.notes) is doubted
-    book.look(30.5)
-    assert (book.states()["x0"] == "gone") is not doubted
-    book.look(31)  # it has said so for long enough
-    assert book.states()["x0"] == "gone"
-
-
-def test_one_by_one_is_the_same_as_at_once() -> None:
-    book = Book()
-    book.at(0, **hubs(8))
+def test_a_registry_that_loses_most_exchanges_at_once_is_not_believed(
+    count: int, lost: int, kept: bool
+) -> None:
+    exchange_list = PublishedList()
+    exchange_list.apply(0, **ready_exchanges(count))
+    update = exchange_list.apply(1, **{f"x{number}": None for number in range(lost)})
+    gone = [name for name, state in exchange_list.states().items() if state == "gone"]
+    assert (gone == []) is kept and bool(update.notes) is kept
+    exchange_list.look(30.5)
+    assert (exchange_list.states()["x0"] == "gone") is not kept
+    exchange_list.look(31)  # the loss is confirmed after 30 s
+    assert exchange_list.states()["x0"] == "gone"
+
+
+def test_removals_in_quick_succession_count_as_one_loss() -> None:
+    exchange_list = PublishedList()
+    exchange_list.apply(0, **ready_exchanges(8))
     for number in range(8):
-        book.at(1 + number / 10, **{f"x{number}": None})
-    assert list(book.states().values()).count("gone") == 4  # then it was too much to be believed
-
-
-def test_a_doubted_exchange_can_drain_and_come_back() -> None:
-    book = Book()
-    book.at(0, **hubs(6))
-    book.at(1, x5={"number": 5, "state": "draining"})
-    book.at(2, **{f"x{number}": None for number in range(6)})
-    assert book.states()["x5"] == "gone" and book.states()["x0"] == "ready"
-    book.at(3, x0={"number": 0, "state": "draining"}, x1={"number": 1})
-    assert book.states()["x0"] == "draining" and book.states()["x1"] == "ready"
-    book.look(40)
-    assert book.states() == {
+        exchange_list.apply(1 + number / 10, **{f"x{number}": None})
+    assert list(exchange_list.states().values()).count("gone") == 4  # the fifth makes it a mass loss
+
+
+def test_a_doubtful_exchange_can_drain_and_return() -> None:
+    exchange_list = PublishedList()
+    exchange_list.apply(0, **ready_exchanges(6))
+    exchange_list.apply(1, x5={"number": 5, "state": "draining"})
+    exchange_list.apply(2, **{f"x{number}": None for number in range(6)})
+    assert exchange_list.states()["x5"] == "gone" and exchange_list.states()["x0"] == "ready"
+    exchange_list.apply(3, x0={"number": 0, "state": "draining"}, x1={"number": 1})
+    assert exchange_list.states()["x0"] == "draining" and exchange_list.states()["x1"] == "ready"
+    exchange_list.look(40)
+    assert exchange_list.states() == {
         "x0": "draining", "x1": "ready", "x2": "gone", "x3": "gone", "x4": "gone", "x5": "gone",
     }  # fmt: skip
 
 
-def test_an_exchange_that_flaps_is_taken_back_later_and_later_but_drains_at_once() -> None:
-    book, now, delays = Book(), 0.0, []
-    book.at(0, **hubs(4))
+def test_a_flapping_exchange_is_readmitted_with_growing_delay_but_drains_at_once() -> None:
+    exchange_list, now, delays = PublishedList(), 0.0, []
+    exchange_list.apply(0, **ready_exchanges(4))
     for _ in range(9):
         now += 1
-        book.at(now, x1=None)
-        assert book.states()["x1"] == "gone"
+        exchange_list.apply(now, x1=None)
+        assert exchange_list.states()["x1"] == "gone"
         now += 1
-        back = now
-        book.at(now, x1={"number": 1})
-        while book.states()["x1"] != "ready":
+        returned_at = now
+        exchange_list.apply(now, x1={"number": 1})
+        while exchange_list.states()["x1"] != "ready":
             now += 0.5
-            book.look(now)
-        delays.append(now - back)
+            exchange_list.look(now)
+        delays.append(now - returned_at)
     assert delays[:4] == [0, 1, 2, 4] and max(delays) == 60 and delays == sorted(delays)
-    assert book.roll.due() == -1
-    book.at(now + 200, x1=None)
-    book.at(now + 300, x1={"number": 1})
-    assert book.states()["x1"] == "ready"  # long away is no flap
+    assert exchange_list.roll.due() == -1
+    exchange_list.apply(now + 200, x1=None)
+    exchange_list.apply(now + 300, x1={"number": 1})
+    assert exchange_list.states()["x1"] == "ready"  # a return after a long absence is no flap
 
 
-def test_deleted_and_put_again_in_one_moment_is_there() -> None:
-    book = Book()
-    book.at(0, **hubs(2))
+def test_an_exchange_deleted_and_put_again_in_one_batch_is_present() -> None:
+    exchange_list = PublishedList()
+    exchange_list.apply(0, **ready_exchanges(2))
     put = b'{"number": 1, "address": "127.0.0.1:9"}'
     key = PREFIX + b"x1"
-    book.lay(book.roll.apply(SECOND, [(key, None, 0), (key, put, 9)]))
-    assert book.states()["x1"] == "ready"
-    book.lay(book.roll.apply(SECOND, [(key, put, 9), (key, None, 0)]))
-    assert book.states()["x1"] == "gone"
-
-
-def test_gone_ones_are_forgotten_and_how_old_the_list_is_is_known() -> None:
-    book = Book()
-    assert book.roll.vouched_at == -1
-    book.at(0, **hubs(4))
-    book.roll.vouch(7 * SECOND)
-    assert book.roll.vouched_at == 7 * SECOND
-    book.at(8, x1=None)
-    book.look(8 + 61)
-    assert set(book.roll.known) == {"x0", "x2", "x3"}
-
-
-def test_more_exchanges_than_can_be_are_kept_out_and_named() -> None:
-    book = Book()
-    book.roll.MOST = 4
-    told = book.at(0, **hubs(6))
-    assert set(book.states()) == {"x0", "x1", "x2", "x3"} and len(told.notes) == 2
-    book.at(1, x3={"number": 3, "state": "draining"})
-    assert book.states()["x3"] == "draining"
-
-
-def test_one_that_leaves_twice_in_a_moment_is_one_that_left() -> None:
-    book = Book()
-    book.at(0, **hubs(4))
-    book.at(1, x0=None)
-    book.at(1.2, x0={"number": 0})
-    assert book.at(1.4, x0=None, x1=None).notes == ()
+    exchange_list.record(exchange_list.roll.apply(SECOND, [(key, None, 0), (key, put, 9)]))
+    assert exchange_list.states()["x1"] == "ready"
+    exchange_list.record(exchange_list.roll.apply(SECOND, [(key, put, 9), (key, None, 0)]))
+    assert exchange_list.states()["x1"] == "gone"
+
+
+def test_removed_exchanges_are_forgotten_and_the_last_confirmation_is_recorded() -> None:
+    exchange_list = PublishedList()
+    assert exchange_list.roll.confirmed_at == -1
+    exchange_list.apply(0, **ready_exchanges(4))
+    exchange_list.roll.vouch(7 * SECOND)
+    assert exchange_list.roll.confirmed_at == 7 * SECOND
+    exchange_list.apply(8, x1=None)
+    exchange_list.look(8 + 61)
+    assert set(exchange_list.roll.exchanges) == {"x0", "x2", "x3"}
+
+
+def test_exchanges_above_the_limit_are_ignored_and_logged() -> None:
+    exchange_list = PublishedList()
+    exchange_list.roll.MAX_EXCHANGES = 4
+    update = exchange_list.apply(0, **ready_exchanges(6))
+    assert set(exchange_list.states()) == {"x0", "x1", "x2", "x3"} and len(update.notes) == 2
+    exchange_list.apply(1, x3={"number": 3, "state": "draining"})
+    assert exchange_list.states()["x3"] == "draining"
+
+
+def test_an_exchange_that_leaves_twice_is_counted_once_in_a_mass_loss() -> None:
+    exchange_list = PublishedList()
+    exchange_list.apply(0, **ready_exchanges(4))
+    exchange_list.apply(1, x0=None)
+    exchange_list.apply(1.2, x0={"number": 0})
+    assert exchange_list.apply(1.4, x0=None, x1=None).notes == ()
