--- a/peattrestle/registry/__init__.py
+++ b/peattrestle/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Registries of key and value, spoken to by their published protocols. No I/O, no clock."""
+"""Clients of key-value registries, each for its published protocol. No I/O and no clock."""
--- a/peattrestle/registry/etcd.py
+++ b/peattrestle/registry/etcd.py
@@ -1,7 +1,7 @@
-"""The etcd v3 protocol in its published JSON form (the gRPC gateway's): requests as bytes, answers as values.
+"""Encodes requests and decodes answers of the etcd v3 API in its published JSON form (the gRPC gateway's).
 
-Keys and values are base64, numbers of 64 bits are strings, and what has its default value is left out. Every
-answer that the protocol does not allow is one BadAnswer that names the field.
+Keys and values are base64, 64-bit numbers are strings, and fields with their default value are left out. An
+answer that the protocol does not allow raises `BadAnswer`, which names the field.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from peattrestle.registry.http import BadAnswer
 
-RANGE, WATCH = "/v3/kv/range", "/v3/watch"
-OUT_OF_RANGE = 11  # the published code of "required revision has been compacted"
+RANGE, WATCH = "/v3/kv/range", "/v3/watch"  # URL paths
+OUT_OF_RANGE = 11  # gRPC status code of "required revision has been compacted"
 
 
 class Header(msgspec.Struct, frozen=True):
-    """Who answered, and how far the registry is."""
+    """The cluster and member that answered, and the current revision of the store."""
 
     cluster_id: int = 0
     member_id: int = 0
@@ -26,7 +26,7 @@
 
 
 class KeyValue(msgspec.Struct, frozen=True):
-    """`mod_revision` is the revision that wrote it; `version` counts from its creation."""
+    """A key and its value. `mod_revision`: the revision that wrote it; `version`: writes since creation."""
 
     key: bytes
     value: bytes = b""
@@ -37,6 +37,8 @@
 
 
 class Range(msgspec.Struct, frozen=True):
+    """The answer to a range request. `more`: not all keys fit; `count`: the number of keys in the range."""
+
     header: Header
     kvs: list[KeyValue] = []
     more: bool = False
@@ -44,14 +46,17 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """`type` is PUT, also where it is left out, or DELETE."""
+    """A change of one key. `type`: "PUT" (also if left out) or "DELETE"."""
 
     kv: KeyValue
     type: str = "PUT"
 
 
-class News(msgspec.Struct, frozen=True):
-    """One message of a watch. `compact_revision`: the watch is over, what came up to there is gone."""
+class WatchResponse(msgspec.Struct, frozen=True):
+    """One message of a watch.
+
+    `compact_revision`: the watch was cancelled because the history up to this revision has been compacted.
+    """
 
     header: Header
     watch_id: int = 0
@@ -64,7 +69,7 @@
 
 
 class Failed(msgspec.Struct, frozen=True):
-    """An error that the registry names. `compacted`: what was asked for is no longer there."""
+    """An error that the registry returned."""
 
     code: int = 0
     message: str = ""
@@ -72,24 +77,26 @@
 
     @property
     def compacted(self) -> bool:
+        """Whether the requested revision has been removed from the registry's history."""
         return self.code == OUT_OF_RANGE or "compacted" in (self.message or self.error)
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The least key that is greater than all with the prefix; one zero byte for 'to the end'."""
-    for at in range(len(prefix) - 1, -1, -1):
-        if prefix[at] < 0xFF:
-            return prefix[:at] + bytes([prefix[at] + 1])
+    """Returns the smallest key greater than all keys with the prefix; a zero byte means no upper end."""
+    for index in range(len(prefix) - 1, -1, -1):
+        if prefix[index] < 0xFF:
+            return prefix[:index] + bytes([prefix[index] + 1])
     return b"\x00"
 
 
 def range_of(prefix: bytes) -> bytes:
-    """All keys with the prefix, as they are now."""
+    """Returns the request body for all keys with the prefix as they are now."""
     return msgspec.json.encode({"key": prefix, "range_end": prefix_end(prefix)})
 
 
 def watch_of(prefix: bytes, since: int) -> bytes:
-    """Every change of keys with the prefix from revision `since` on, and words of progress."""
+    """Returns the request body that watches keys with the prefix from revision `since` on, with progress
+    notifications."""
     create = {
         "key": prefix,
         "range_end": prefix_end(prefix),
@@ -102,55 +109,65 @@
 def _read(data: bytes, kind: Any, what: str) -> Any:
     try:
         return msgspec.convert(msgspec.json.decode(data), kind, strict=False)
-    except msgspec.ValidationError as fault:
-        raise BadAnswer(f"{what}: {fault}") from None
-    except (msgspec.DecodeError, ValueError, RecursionError) as fault:
-        raise BadAnswer(f"{what}: not JSON: {fault}") from None
+    except msgspec.ValidationError as error:
+        raise BadAnswer(f"{what}: {error}") from None
+    except (msgspec.DecodeError, ValueError, RecursionError) as error:
+        raise BadAnswer(f"{what}: not JSON: {error}") from None
 
 
-def _sound(header: Header, what: str) -> None:
+def _check_header(header: Header, what: str) -> None:
     if header.revision <= 0 or header.cluster_id == 0:
-        raise BadAnswer(f"{what}: a header without revision or cluster")
+        raise BadAnswer(f"{what}: a header without revision or cluster_id")
 
 
 def read_range(data: bytes) -> Range:
-    """Raises BadAnswer, also for keys with a revision that is not there yet."""
-    out: Range = _read(data, Range, "range")
-    _sound(out.header, "range")
-    for one in out.kvs:
-        if not 0 < one.mod_revision <= out.header.revision:
-            raise BadAnswer(f"range: {one.key!r} of revision {one.mod_revision} in {out.header.revision}")
-    return out
+    """Parses the answer to a range request.
+
+    Raises `BadAnswer`, also if a key has a higher revision than the header.
+    """
+    answer: Range = _read(data, Range, "range")
+    _check_header(answer.header, "range")
+    for pair in answer.kvs:
+        if not 0 < pair.mod_revision <= answer.header.revision:
+            raise BadAnswer(
+                f"range: {pair.key!r} has revision {pair.mod_revision}, the header {answer.header.revision}"
+            )
+    return answer
+
 
+def read_news(line: bytes) -> WatchResponse | Failed:
+    """Parses one line of a watch.
 
-def read_news(line: bytes) -> News | Failed:
-    """One line of a watch. Raises BadAnswer."""
+    Raises `BadAnswer`, also if the events' revisions decrease or are higher than the header's.
+    """
     outer = _read(line, dict[str, Any], "watch")
     if "error" in outer:
         inner = outer["error"]
         return _read(msgspec.json.encode(inner if isinstance(inner, dict) else outer), Failed, "watch error")  # type: ignore[no-any-return]
     if "result" not in outer:
-        raise BadAnswer("watch: neither result nor error")
-    news: News = _read(msgspec.json.encode(outer["result"]), News, "watch")
-    _sound(news.header, "watch")
+        raise BadAnswer("watch: a message with neither result nor error")
+    response: WatchResponse = _read(msgspec.json.encode(outer["result"]), WatchResponse, "watch")
+    _check_header(response.header, "watch")
     before = 0
-    for one in news.events:
-        if one.type not in ("PUT", "DELETE"):
-            raise BadAnswer(f"watch: an event of type {one.type!r}")
-        if one.kv.mod_revision <= 0 or one.kv.mod_revision > news.header.revision:
+    for event in response.events:
+        if event.type not in ("PUT", "DELETE"):
+            raise BadAnswer(f"watch: an event of type {event.type!r}")
+        if event.kv.mod_revision <= 0 or event.kv.mod_revision > response.header.revision:
             raise BadAnswer(
-                f"watch: {one.kv.key!r} of revision {one.kv.mod_revision} in {news.header.revision}"
+                f"watch: {event.kv.key!r} has revision {event.kv.mod_revision}, "
+                f"the header {response.header.revision}"
             )
-        if one.kv.mod_revision < before:
-            raise BadAnswer(f"watch: revision {one.kv.mod_revision} after {before}")
-        before = one.kv.mod_revision
-    return news
+        if event.kv.mod_revision < before:
+            raise BadAnswer(f"watch: revision {event.kv.mod_revision} after {before}")
+        before = event.kv.mod_revision
+    return response
 
 
 def read_failed(data: bytes) -> Failed:
-    """The body of an answer that is not 200; what can't be read is told as its text."""
+    """Parses the body of an answer whose status is not 200. A body that can't be parsed becomes the message,
+    cut to 200 bytes."""
     try:
-        out: Failed = _read(data, Failed, "error")
+        error: Failed = _read(data, Failed, "error")
     except BadAnswer:
         return Failed(0, data[:200].decode("utf-8", "replace"))
-    return out
+    return error
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -1,13 +1,13 @@
-"""Follows all keys with a prefix: a whole read, then a watch from the next revision on, for ever.
+"""Decides how to follow all keys with a prefix: one full read, then a watch from the next revision on.
 
-What may be lost or doubled on the way is decided here. `held` is what the registry had at `revision`, every
-revision's effect applied once and in order. The states:
+This module decides what may be lost or repeated when connections break. `held` is the registry's content at
+`revision`: every revision is applied once and in order. The states:
 
-| state | means | ends by |
+| state | meaning | ends with |
 | --- | --- | --- |
-| away | no answer under way; a wait is | `due` |
-| reading | a whole read was asked for | its answer, a failure, a break |
-| watching | a watch from `revision` + 1 was asked for | cancelled, compacted, a break |
+| away | no request is open; a retry delay is running | `due` |
+| reading | a full read was requested | its answer, an error, a lost connection |
+| watching | a watch from `revision` + 1 was requested | cancelled, compacted, a lost connection |
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from peattrestle.registry.etcd import Event, Failed, News, Range
+from peattrestle.registry.etcd import Event, Failed, Range, WatchResponse
 from peattrestle.registry.http import BadAnswer
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # nanoseconds
 AWAY, READING, WATCHING = "away", "reading", "watching"
 
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """A key's new value, None where it was deleted. `created`: the revision that it has existed from."""
+    """A key's new value, None if it was deleted. `created`: the revision that created the key."""
 
     key: bytes
     value: bytes | None
@@ -34,29 +34,30 @@
 
 @dataclass(slots=True, frozen=True)
 class Read:
-    """Ask for all keys as they are now."""
+    """Action: request all keys as they are now."""
 
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Ask for every change from this revision on."""
+    """Action: request every change from the revision `since` on."""
 
     since: int
 
 
 @dataclass(slots=True, frozen=True)
 class Wait:
-    """Call `due` after so many nanoseconds."""
+    """Action: call `due` after `length` nanoseconds."""
 
     length: int
 
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """The changes of one or more revisions, all of them up to `revision`.
+    """Action: apply the changes of one or more revisions, complete up to `revision`.
 
-    `whole`: found by a whole read, so that what lies between is not known; `strange`: of a registry that
-    went back, or is another one.
+    `whole`: they come from a full read, so the revisions in between are unknown. `strange`: how the registry
+    differs from the one followed before (its revision went back, or it is another cluster); empty if it is
+    the same.
     """
 
     changes: tuple[Change, ...]
@@ -67,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Vouch:
-    """Nothing has changed up to `revision`: what is held is good as of now."""
+    """Action: record that nothing changed up to `revision`, so that the content held is current."""
 
     revision: int
 
@@ -76,7 +77,9 @@
 
 
 @dataclass(slots=True)
-class Held:
+class HeldValue:
+    """The value held for a key, with the revisions that wrote the value and created the key."""
+
     value: bytes
     revision: int
     created: int
@@ -84,6 +87,8 @@
 
 @dataclass(slots=True)
 class Counts:
+    """Counters of a follower. `doubled`: events received twice. `overtaken`: events received out of order."""
+
     applied: int = 0
     doubled: int = 0
     overtaken: int = 0
@@ -94,26 +99,30 @@
 
 
 class Follower:
-    """`least`, `most`: waits after a break, doubling, each drawn from half of it to all of it."""
+    """Takes the registry's answers and returns the actions to carry out.
+
+    `least`, `most`: bounds of the retry delay in nanoseconds. The delay doubles with each failure, and the
+    time actually waited is drawn from half of it to all of it.
+    """
 
-    MOST_PARTS = 100_000  # events of one fragmented message
-    MOST_RECENT = 10_000  # events remembered, to tell one sent twice from one that was overtaken
+    MAX_FRAGMENTED_EVENTS = 100_000  # events of one fragmented message
+    MAX_RECENT_EVENTS = 10_000  # events remembered, to tell a repeated event from one delivered out of order
 
     def __init__(self, least: int = SECOND // 10, most: int = 5 * SECOND) -> None:
         self.least, self.most = least, most
         self.state = AWAY
         self.cluster = self.revision = 0
-        self.held: dict[bytes, Held] = {}
+        self.held: dict[bytes, HeldValue] = {}
         self.counts = Counts()
-        self._wait = least
-        self._parts: list[Event] = []
-        self._recent: OrderedDict[tuple[bytes, int], None] = OrderedDict()
-        self._read_next = True  # else the watch is taken up where it was
+        self._retry_delay = least
+        self._fragments: list[Event] = []
+        self._recent_events: OrderedDict[tuple[bytes, int], None] = OrderedDict()
+        self._needs_read = True  # otherwise the watch resumes after `revision`
 
     def due(self) -> list[Do]:
-        """The wait is over, or the very start."""
-        self._parts.clear()
-        if self._read_next:
+        """Starts the next request: at the start, and when a `Wait` has passed."""
+        self._fragments.clear()
+        if self._needs_read:
             self.state = READING
             self.counts.reads += 1
             return [Read()]
@@ -122,101 +131,109 @@
         return [Watch(self.revision + 1)]
 
     def broken(self, chance: float) -> list[Do]:
-        """The connection ended, the answer was illegal, or none came. `chance` is drawn from 0 to 1."""
+        """Handles a lost connection, an illegal answer or a timeout.
+
+        `chance`: a random number from 0 to 1 that spreads the retry delay.
+        """
         self.counts.breaks += 1
         self.state = AWAY
-        self._parts.clear()
-        length = round(self._wait * (1 + chance) / 2)
-        self._wait = min(2 * self._wait, self.most)
+        self._fragments.clear()
+        length = round(self._retry_delay * (1 + chance) / 2)
+        self._retry_delay = min(2 * self._retry_delay, self.most)
         return [Wait(length)]
 
-    def failed(self, fault: Failed, chance: float) -> list[Do]:
-        """The registry named an error. What is compacted is read anew at once, the rest waited for."""
-        if fault.compacted and self.state == WATCHING:
-            return self._read_anew()
+    def failed(self, error: Failed, chance: float) -> list[Do]:
+        """Handles an error answer. A compacted watch is followed by a full read at once; after any other
+        error the follower waits as in `broken`."""
+        if error.compacted and self.state == WATCHING:
+            return self._restart_with_read()
         return self.broken(chance)
 
-    def _read_anew(self) -> list[Do]:
+    def _restart_with_read(self) -> list[Do]:
         self.counts.compacted += 1
-        self._read_next = True
+        self._needs_read = True
         return self.due()
 
     def read(self, answer: Range) -> list[Do]:
-        """A whole read: only what differs from what is held is told, then watched on from there."""
+        """Applies the differences between a full read and the content held, then watches from there on.
+
+        Raises `BadAnswer` for an answer that was not requested or is not complete.
+        """
         if self.state != READING:
-            raise BadAnswer("an answer to a read that was not asked for")
+            raise BadAnswer("range: an answer to a read that was not requested")
         if answer.more:
-            raise BadAnswer("range: more keys than were sent")
-        strange = self._strange(answer.header.cluster_id, answer.header.revision)
+            raise BadAnswer("range: the answer is incomplete, there are more keys")
+        strange = self._difference(answer.header.cluster_id, answer.header.revision)
         if strange:
-            self._recent.clear()  # its revisions are not those that were applied
-        present = {one.key: one for one in answer.kvs}
+            self._recent_events.clear()  # revision numbers of another history
+        present = {pair.key: pair for pair in answer.kvs}
         changes = [Change(key, None, answer.header.revision) for key in self.held if key not in present]
-        for key, one in present.items():
+        for key, pair in present.items():
             before = self.held.get(key)
-            if before is None or (before.value, before.created) != (one.value, one.create_revision):
-                changes.append(Change(key, one.value, one.mod_revision, one.create_revision))
-            self.held[key] = Held(one.value, one.mod_revision, one.create_revision)
+            if before is None or (before.value, before.created) != (pair.value, pair.create_revision):
+                changes.append(Change(key, pair.value, pair.mod_revision, pair.create_revision))
+            self.held[key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
         for change in changes:
             if change.value is None:
                 del self.held[change.key]
         changes.sort(key=lambda change: change.revision)
         self.cluster, self.revision = answer.header.cluster_id, answer.header.revision
         self.counts.applied += len(changes)
-        self._read_next, self._wait = False, self.least
+        self._needs_read, self._retry_delay = False, self.least
         return [Apply(tuple(changes), self.revision, True, strange), *self.due()]
 
-    def _strange(self, cluster: int, revision: int) -> str:
+    def _difference(self, cluster: int, revision: int) -> str:
+        """How an answer shows another registry or an older copy of it; empty if it does not."""
         if self.cluster and cluster != self.cluster:
             return f"cluster {cluster} in place of {self.cluster}"
         if revision < self.revision:
             return f"revision {revision} after {self.revision}"
         return ""
 
-    def news(self, news: News, chance: float) -> list[Do]:
-        """One message of the watch. Raises BadAnswer for what no watch may say."""
+    def news(self, response: WatchResponse, chance: float) -> list[Do]:
+        """Handles one message of the watch. Raises `BadAnswer` if it was not requested or is too long."""
         if self.state != WATCHING:
-            raise BadAnswer("news of a watch that was not asked for")
-        if news.canceled:
-            return self._read_anew() if news.compact_revision else self.broken(chance)
-        if self._strange(news.header.cluster_id, news.header.revision):
-            # Another registry answers, or an older copy: what it has is not what ours went on to have.
-            return self._read_anew()
-        if news.created:
-            return []  # its header tells how far the registry is, not how far this watch is
-        self._wait = self.least
-        if news.fragment:
-            self._parts += news.events
-            if len(self._parts) > self.MOST_PARTS:
-                raise BadAnswer(f"watch: more than {self.MOST_PARTS} events in one message")
+            raise BadAnswer("watch: a message of a watch that was not requested")
+        if response.canceled:
+            return self._restart_with_read() if response.compact_revision else self.broken(chance)
+        if self._difference(response.header.cluster_id, response.header.revision):
+            # Another registry or an older copy answers: its changes don't follow on the content held.
+            return self._restart_with_read()
+        if response.created:
+            return []  # its header has the registry's revision, not the progress of this watch
+        self._retry_delay = self.least
+        if response.fragment:
+            self._fragments += response.events
+            if len(self._fragments) > self.MAX_FRAGMENTED_EVENTS:
+                raise BadAnswer(f"watch: more than {self.MAX_FRAGMENTED_EVENTS} events in one message")
             return []
-        events, self._parts = [*self._parts, *news.events], []
+        events, self._fragments = [*self._fragments, *response.events], []
         if not events:
-            self.revision = max(self.revision, news.header.revision)
+            self.revision = max(self.revision, response.header.revision)
             return [Vouch(self.revision)]
         changes: list[Change] = []
         before = self.revision
         self.revision = max(before, events[-1].kv.mod_revision)
         for event in events:
-            one = event.kv
-            if one.mod_revision <= before:
-                if (one.key, one.mod_revision) not in self._recent:
-                    # It was overtaken on its way: what else was, nothing tells.
+            pair = event.kv
+            if pair.mod_revision <= before:
+                if (pair.key, pair.mod_revision) not in self._recent_events:
+                    # It arrived out of order. Other events may be missing too, so everything is read again.
                     self.counts.overtaken += 1
-                    return [*self._told(changes), *self._read_anew()]
+                    return [*self._apply(changes), *self._restart_with_read()]
                 self.counts.doubled += 1
                 continue
-            self._recent[one.key, one.mod_revision] = None
+            self._recent_events[pair.key, pair.mod_revision] = None
             if event.type == "DELETE":
-                if self.held.pop(one.key, None) is not None:
-                    changes.append(Change(one.key, None, one.mod_revision))
+                if self.held.pop(pair.key, None) is not None:
+                    changes.append(Change(pair.key, None, pair.mod_revision))
             else:
-                self.held[one.key] = Held(one.value, one.mod_revision, one.create_revision)
-                changes.append(Change(one.key, one.value, one.mod_revision, one.create_revision))
-        while len(self._recent) > self.MOST_RECENT:
-            self._recent.popitem(last=False)
-        return self._told(changes)
+                self.held[pair.key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
+                changes.append(Change(pair.key, pair.value, pair.mod_revision, pair.create_revision))
+        while len(self._recent_events) > self.MAX_RECENT_EVENTS:
+            self._recent_events.popitem(last=False)
+        return self._apply(changes)
 
-    def _told(self, changes: list[Change]) -> list[Do]:
+    def _apply(self, changes: list[Change]) -> list[Do]:
         self.counts.applied += len(changes)
         return [Apply(tuple(changes), self.revision)] if changes else []
--- a/peattrestle/registry/http.py
+++ b/peattrestle/registry/http.py
@@ -1,6 +1,6 @@
-"""One HTTP/1.1 conversation as a client: bytes in, pieces of answers out. h11 knows the protocol.
+"""An HTTP/1.1 client connection without I/O: bytes in, parts of the answer out. The protocol is h11's.
 
-Source: RFC 9112. Bounded: a head by h11's 16 KiB, what an answer holds by whoever collects it.
+Source: RFC 9112. h11 limits the head of an answer to 16 KiB; the caller limits the size of its body.
 """
 
 from __future__ import annotations
@@ -11,40 +11,40 @@
 
 
 class BadAnswer(Exception):
-    """The registry said what its protocol does not allow; the text names what and where."""
+    """An answer that the registry's protocol does not allow; the message names the field or the place."""
 
 
 @dataclass(slots=True, frozen=True)
 class Head:
-    """The begin of an answer."""
+    """The head of an answer, with its status code."""
 
     status: int
 
 
 @dataclass(slots=True, frozen=True)
 class Part:
-    """Some of its body."""
+    """Some bytes of the answer's body."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class End:
-    """Its end."""
+    """The end of the answer."""
 
 
 Piece = Head | Part | End
 
 
 class Conversation:
-    """One request and its answer. `host` and `agent` go into its Host and User-Agent fields."""
+    """One request and its answer. `host` and `agent` are the values of the Host and User-Agent fields."""
 
     def __init__(self, host: str, agent: str = "peattrestle") -> None:
         self.host, self.agent = host, agent
         self._connection = h11.Connection(h11.CLIENT)
 
     def post(self, target: str, body: bytes) -> bytes:
-        """The bytes of a request with a JSON body."""
+        """Returns the bytes of a POST request with the JSON body `body`."""
         headers = [
             ("Host", self.host),
             ("User-Agent", self.agent),
@@ -59,43 +59,48 @@
         return b"".join(self._connection.send(event) or b"" for event in events)
 
     def feed(self, data: bytes) -> list[Piece]:
-        """What the bytes complete; empty bytes say that the connection has ended. Raises BadAnswer, and
-        BadAnswer again for anything after that."""
-        out: list[Piece] = []
+        """Returns the parts of the answer that `data` completes; empty `data` means a closed connection.
+
+        Raises `BadAnswer` if the bytes are not valid HTTP, and then for any further bytes too.
+        """
+        pieces: list[Piece] = []
         try:
             self._connection.receive_data(data)
             while True:
                 event = self._connection.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-                    return out
+                    return pieces
                 if isinstance(event, h11.Response):
-                    out.append(Head(event.status_code))
+                    pieces.append(Head(event.status_code))
                 elif isinstance(event, h11.Data):
-                    out.append(Part(bytes(event.data)))
+                    pieces.append(Part(bytes(event.data)))
                 elif isinstance(event, h11.EndOfMessage):
-                    out.append(End())
-                    return out
-        except h11.RemoteProtocolError as fault:
-            raise BadAnswer(f"not HTTP as published: {fault}") from None
+                    pieces.append(End())
+                    return pieces
+        except h11.RemoteProtocolError as error:
+            raise BadAnswer(f"invalid HTTP: {error}") from None
 
 
 class Lines:
-    """A body of JSON values, one a line, as watches and leases stream them."""
+    """Splits a streamed body into lines, one JSON value each, as watches and leases send them.
+
+    `max_line_bytes`: the maximum length of a line in bytes.
+    """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self._held = bytearray()
+    def __init__(self, max_line_bytes: int) -> None:
+        self.max_line_bytes = max_line_bytes
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Whole lines. Raises BadAnswer where one is longer than `most` bytes."""
-        self._held += data
-        *lines, rest = bytes(self._held).split(b"\n")
-        self._held = bytearray(rest)
-        if len(rest) > self.most or any(len(line) > self.most for line in lines):
-            raise BadAnswer(f"a line longer than {self.most} bytes")
+        """Returns the complete lines so far. Raises `BadAnswer` if one is longer than `max_line_bytes`."""
+        self._buffer += data
+        *lines, rest = bytes(self._buffer).split(b"\n")
+        self._buffer = bytearray(rest)
+        if len(rest) > self.max_line_bytes or any(len(line) > self.max_line_bytes for line in lines):
+            raise BadAnswer(f"a line longer than {self.max_line_bytes} bytes")
         return [line for line in lines if line.strip()]
 
     def end(self) -> bytes:
-        """What came after the last newline: a whole value where the stream ended in good order."""
-        rest, self._held = bytes(self._held), bytearray()
+        """Returns the bytes after the last newline: a complete value if the stream ended regularly."""
+        rest, self._buffer = bytes(self._buffer), bytearray()
         return rest.strip()
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -1,4 +1,4 @@
-"""The follower against a registry in memory: breaks, compactions, doubles, another registry."""
+"""The follower against an in-memory registry: lost connections, compaction, repeated events, replacement."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import pytest
 
 from peattrestle.registry import etcd
-from peattrestle.registry.etcd import Event, Failed, Header, KeyValue, News, Range
+from peattrestle.registry.etcd import Event, Failed, Header, KeyValue, Range, WatchResponse
 from peattrestle.registry.follower import AWAY, WATCHING, Apply, Change, Follower, Read, Vouch, Wait, Watch
 from peattrestle.registry.http import BadAnswer
 
 
 class Registry:
-    """Keys with revisions and a history that can be compacted."""
+    """An in-memory registry: keys with revisions and a history that can be compacted."""
 
     def __init__(self, cluster: int = 7) -> None:
         self.cluster, self.revision, self.compacted = cluster, 1, 0
@@ -47,141 +47,144 @@
     def since(self, revision: int) -> list[Event] | None:
         if revision <= self.compacted:
             return None
-        return [one for one in self.history if one.kv.mod_revision >= revision]
+        return [event for event in self.history if event.kv.mod_revision >= revision]
 
 
-class Applied:
-    """Takes what the follower applies, as the module would, and counts each revision's effect."""
+class AppliedChanges:
+    """Applies the follower's changes to a copy of the keys and counts how often each revision is applied."""
 
     def __init__(self) -> None:
         self.keys: dict[bytes, bytes] = {}
-        self.effects: dict[tuple[bytes, int], int] = {}
+        self.application_counts: dict[tuple[bytes, int], int] = {}
         self.order: list[int] = []
 
-    def take(self, one: Apply) -> None:
-        for change in one.changes:
-            effect = (change.key, change.revision)
-            self.effects[effect] = self.effects.get(effect, 0) + 1
-            if not one.whole:
+    def apply(self, action: Apply) -> None:
+        for change in action.changes:
+            change_id = (change.key, change.revision)
+            self.application_counts[change_id] = self.application_counts.get(change_id, 0) + 1
+            if not action.whole:
                 self.order.append(change.revision)
             if change.value is None:
-                del self.keys[change.key]  # nothing is deleted twice
+                del self.keys[change.key]  # raises KeyError if a key is deleted twice
             else:
                 self.keys[change.key] = change.value
 
 
-class Line:
-    """The way between both, with what goes wrong on it."""
+class FaultyConnection:
+    """Connects a follower to a registry, with faults drawn from a seed."""
 
     def __init__(self, seed: int) -> None:
-        self.draw = random.Random(seed)
-        self.registry, self.follower, self.applied = Registry(), Follower(), Applied()
-        self.sent = 0  # the watch has been sent changes up to here
-        self.do(self.follower.due())
-
-    def do(self, actions: list) -> None:  # type: ignore[type-arg]
-        for one in actions:
-            match one:
+        self.random = random.Random(seed)
+        self.registry, self.follower, self.applied = Registry(), Follower(), AppliedChanges()
+        self.sent = 0  # the last revision sent to the watch
+        self.perform(self.follower.due())
+
+    def perform(self, actions: list) -> None:  # type: ignore[type-arg]
+        for action in actions:
+            match action:
                 case Read():
-                    self.reading = self.registry.range() if self.draw.random() < 0.9 else None
+                    self.pending_read = self.registry.range() if self.random.random() < 0.9 else None
                 case Watch(since):
                     if self.registry.since(since) is None:
-                        self.refused = True
+                        self.watch_compacted = True
                     self.sent = since - 1
-                    self.waiting = [News(self.registry.header(), created=True)]
+                    self.undelivered = [WatchResponse(self.registry.header(), created=True)]
                 case Apply():
-                    self.applied.take(one)
+                    self.applied.apply(action)
                 case Wait() | Vouch():
                     pass
 
-    reading: Range | None = None
-    refused = False
-    waiting: list[News] = []
+    pending_read: Range | None = None
+    watch_compacted = False
+    undelivered: list[WatchResponse] = []
 
     def step(self) -> None:
-        """Delivers whatever is due, or breaks."""
-        chance = self.draw.random()
+        """Delivers what is pending, or loses the connection."""
+        chance = self.random.random()
         if self.follower.state == AWAY:
-            self.do(self.follower.due())
+            self.perform(self.follower.due())
         elif self.follower.state == WATCHING:
-            if self.refused:
-                self.refused = False
-                cancel = News(self.registry.header(), canceled=True, compact_revision=self.registry.compacted)
-                self.do(self.follower.news(cancel, chance))
+            if self.watch_compacted:
+                self.watch_compacted = False
+                cancel = WatchResponse(
+                    self.registry.header(), canceled=True, compact_revision=self.registry.compacted
+                )
+                self.perform(self.follower.news(cancel, chance))
                 return
             if chance < 0.1:
-                self.waiting = []
-                self.do(self.follower.broken(chance))
+                self.undelivered = []
+                self.perform(self.follower.broken(chance))
                 return
             events = self.registry.since(self.sent + 1)
             if events is None:
-                self.refused = True
+                self.watch_compacted = True
                 return
             if events:
                 self.sent = events[-1].kv.mod_revision
-                self.waiting.append(News(self.registry.header(), events=events))
+                self.undelivered.append(WatchResponse(self.registry.header(), events=events))
                 if chance < 0.3:
-                    self.waiting.append(self.waiting[-1])  # twice
+                    self.undelivered.append(self.undelivered[-1])  # delivered twice
             elif chance < 0.4:
-                self.waiting.append(News(self.registry.header()))
-            waiting, self.waiting = self.waiting, []
-            for one in waiting:
+                self.undelivered.append(WatchResponse(self.registry.header()))
+            responses, self.undelivered = self.undelivered, []
+            for response in responses:
                 if self.follower.state == WATCHING:
-                    self.do(self.follower.news(one, chance))
+                    self.perform(self.follower.news(response, chance))
         else:
-            answer, self.reading = self.reading, None
-            self.do(self.follower.broken(chance) if answer is None else self.follower.read(answer))
+            answer, self.pending_read = self.pending_read, None
+            self.perform(self.follower.broken(chance) if answer is None else self.follower.read(answer))
 
-    def change(self) -> None:
-        key = f"/x/{self.draw.randrange(8)}".encode()
-        if self.draw.random() < 0.3:
+    def change_registry(self) -> None:
+        key = f"/x/{self.random.randrange(8)}".encode()
+        if self.random.random() < 0.3:
             self.registry.delete(key)
         else:
-            self.registry.put(key, str(self.draw.randrange(5)).encode())
-        if self.draw.random() < 0.05:
+            self.registry.put(key, str(self.random.randrange(5)).encode())
+        if self.random.random() < 0.05:
             self.registry.compact()
 
-    def quiet(self) -> None:
+    def settle(self) -> None:
         for _ in range(200):
             self.step()
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_nothing_is_missed_and_nothing_applied_twice(seed: int) -> None:
-    line = Line(seed)
+def test_no_change_is_missed_or_applied_twice(seed: int) -> None:
+    connection = FaultyConnection(seed)
     for _ in range(40):
-        for _ in range(line.draw.randrange(12)):
-            line.change()
-            if line.draw.random() < 0.6:
-                line.step()
-        line.quiet()
-        there = {key: one.value for key, one in line.registry.keys.items()}
-        assert line.applied.keys == there
-    assert line.applied.order == sorted(line.applied.order)
-    assert max(line.applied.effects.values()) == 1
-    counts = line.follower.counts
+        for _ in range(connection.random.randrange(12)):
+            connection.change_registry()
+            if connection.random.random() < 0.6:
+                connection.step()
+        connection.settle()
+        expected = {key: pair.value for key, pair in connection.registry.keys.items()}
+        assert connection.applied.keys == expected
+    assert connection.applied.order == sorted(connection.applied.order)
+    assert max(connection.applied.application_counts.values()) == 1
+    counts = connection.follower.counts
     assert counts.breaks > 5 and counts.compacted > 0 and counts.doubled > 0
 
 
-def following(registry: Registry) -> Follower:
-    one = Follower()
-    assert one.due() == [Read()]
-    one.read(registry.range())
-    return one
+def watching_follower(registry: Registry) -> Follower:
+    """A follower that has read the whole registry and watches it."""
+    follower = Follower()
+    assert follower.due() == [Read()]
+    follower.read(registry.range())
+    return follower
 
 
-def test_an_event_that_was_overtaken_has_all_read_anew() -> None:
+def test_an_event_out_of_order_causes_a_full_read() -> None:
     registry = Registry()
     registry.put(b"/x/1", b"a")
-    one = following(registry)
+    follower = watching_follower(registry)
     registry.put(b"/x/1", b"b")
     registry.put(b"/x/2", b"c")
     first, second = registry.history[-2:]
-    assert one.news(News(registry.header(), events=[second]), 0.5) == [
+    assert follower.news(WatchResponse(registry.header(), events=[second]), 0.5) == [
         Apply((Change(b"/x/2", b"c", 4, 4),), 4)
     ]
-    assert one.news(News(registry.header(), events=[first]), 0.5) == [Read()]
-    (apply, watch) = one.read(registry.range())
+    assert follower.news(WatchResponse(registry.header(), events=[first]), 0.5) == [Read()]
+    (apply, watch) = follower.read(registry.range())
     assert apply == Apply((Change(b"/x/1", b"b", 3, 2),), 4, True) and watch == Watch(5)
 
 
@@ -189,85 +192,90 @@
     ("change", "strange"),
     [({"cluster": 8}, "cluster 8 in place of 7"), ({"revision": 2}, "revision 2 after 4")],
 )
-def test_another_registry_or_an_old_copy_is_named(change: dict[str, int], strange: str) -> None:
+def test_another_registry_or_an_older_copy_is_reported(change: dict[str, int], strange: str) -> None:
     registry = Registry()
     for number in range(3):
         registry.put(f"/x/{number}".encode(), b"a")
-    one = following(registry)
+    follower = watching_follower(registry)
     other = Registry(change.get("cluster", 7))
     other.revision = change.get("revision", 50)
-    assert one.news(News(other.header(), created=True), 0.5) == [Read()]
-    apply = one.read(other.range())[0]
+    assert follower.news(WatchResponse(other.header(), created=True), 0.5) == [Read()]
+    apply = follower.read(other.range())[0]
     assert isinstance(apply, Apply) and apply.strange == strange
     assert [(each.key, each.value) for each in apply.changes] == [
         (f"/x/{number}".encode(), None) for number in range(3)
     ]
 
 
-def test_an_older_copy_has_revisions_of_its_own() -> None:
+def test_revisions_of_an_older_copy_are_not_taken_for_those_already_applied() -> None:
     registry = Registry()
-    one = following(registry)
+    follower = watching_follower(registry)
     for key in (b"/x/1", b"/x/2"):
         registry.put(key, b"a")
-    one.news(News(registry.header(), events=registry.history), 0.5)
-    copy = Registry()  # restored from before both
-    assert one.news(News(copy.header(), created=True), 0.5) == [Read()]
-    one.read(copy.range())
+    follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
+    copy = Registry()  # restored from a backup older than both changes
+    assert follower.news(WatchResponse(copy.header(), created=True), 0.5) == [Read()]
+    follower.read(copy.range())
     for key in (b"/x/1", b"/x/2"):
         copy.put(key, b"b")
-    one.news(News(copy.header(), events=copy.history[1:]), 0.5)
-    # The first was overtaken; that its namesake was applied once says nothing.
-    assert one.news(News(copy.header(), events=copy.history[:1]), 0.5) == [Read()]
+    follower.news(WatchResponse(copy.header(), events=copy.history[1:]), 0.5)
+    # The first event arrives out of order. The same key and revision was applied before, but in the
+    # history of the other registry, so it must not pass for a repeated event.
+    assert follower.news(WatchResponse(copy.header(), events=copy.history[:1]), 0.5) == [Read()]
 
 
-def test_created_vouches_for_nothing_and_progress_does() -> None:
+def test_a_created_message_confirms_nothing_and_a_progress_message_does() -> None:
     registry = Registry()
-    one = following(registry)
+    follower = watching_follower(registry)
     registry.put(b"/x/1", b"a")  # between the read and the watch
-    assert one.news(News(registry.header(), created=True), 0.5) == []
-    one.broken(0.5)
-    assert one.due() == [Watch(2)]  # not 3: nothing was delivered
-    one.news(News(registry.header(), events=registry.history), 0.5)
-    assert one.news(News(Header(7, 1, 9)), 0.5) == [Vouch(9)]
-    one.broken(0.5)
-    assert one.due() == [Watch(10)]
+    assert follower.news(WatchResponse(registry.header(), created=True), 0.5) == []
+    follower.broken(0.5)
+    assert follower.due() == [Watch(2)]  # not 3: nothing was delivered
+    follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
+    assert follower.news(WatchResponse(Header(7, 1, 9)), 0.5) == [Vouch(9)]
+    follower.broken(0.5)
+    assert follower.due() == [Watch(10)]
 
 
 def test_fragments_are_applied_together_or_not_at_all() -> None:
     registry = Registry()
-    one = following(registry)
+    follower = watching_follower(registry)
     registry.put(b"/x/1", b"a")
     registry.put(b"/x/2", b"b")
-    assert one.news(News(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
-    one.broken(0.5)
-    assert one.due() == [Watch(2)]
-    assert one.news(News(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
-    (apply,) = one.news(News(registry.header(), events=registry.history[1:]), 0.5)
+    assert (
+        follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
+    )
+    follower.broken(0.5)
+    assert follower.due() == [Watch(2)]
+    assert (
+        follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
+    )
+    (apply,) = follower.news(WatchResponse(registry.header(), events=registry.history[1:]), 0.5)
     assert isinstance(apply, Apply) and len(apply.changes) == 2
 
 
-def test_waits_grow_are_drawn_and_start_anew_after_news() -> None:
+def test_retry_delays_grow_are_drawn_and_restart_after_a_message() -> None:
     registry = Registry()
-    one = following(registry)
+    follower = watching_follower(registry)
     waits = []
     for chance in (0.0, 1.0, 0.0, 1.0):
-        (wait,) = one.broken(chance)
+        (wait,) = follower.broken(chance)
         assert isinstance(wait, Wait)
         waits.append(wait.length)
-        one.due()
-    assert waits == [one.least // 2, 2 * one.least, 2 * one.least, 8 * one.least]
-    one.news(News(registry.header()), 0.5)
-    (wait,) = one.broken(1.0)
-    assert wait == Wait(one.least)
-    one.due()
+        follower.due()
+    assert waits == [follower.least // 2, 2 * follower.least, 2 * follower.least, 8 * follower.least]
+    follower.news(WatchResponse(registry.header()), 0.5)
+    (wait,) = follower.broken(1.0)
+    assert wait == Wait(follower.least)
+    follower.due()
     for _ in range(4):
-        one.broken(1.0)
-        one.due()
-    one.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
-    one.read(registry.range())
-    assert one.broken(1.0) == [Wait(one.least)]  # a read is news too
-    one.due()
-    assert one.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [Read()]
+        follower.broken(1.0)
+        follower.due()
+    follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
+    follower.read(registry.range())
+    assert follower.broken(1.0) == [Wait(follower.least)]  # a full read restarts them too
+    follower.due()
+    assert follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [Read()]
 
 
 HEADER = b'"header":{"cluster_id":"1","revision":"5"}'
@@ -278,7 +286,11 @@
     (etcd.read_range, b'{"header":{"revision":"5"}}', "without revision or cluster"),
     (etcd.read_range, b'{"header":{"cluster_id":"1","revision":"x"}}', "revision"),
     (etcd.read_range, b"{" + HEADER + b',"kvs":[{"key":"*","mod_revision":"1"}]}', "key"),
-    (etcd.read_range, b"{" + HEADER + b',"kvs":[{"key":"YQ==","mod_revision":"6"}]}', "6 in 5"),
+    (
+        etcd.read_range,
+        b"{" + HEADER + b',"kvs":[{"key":"YQ==","mod_revision":"6"}]}',
+        "revision 6, the header 5",
+    ),
     (etcd.read_news, b"{}", "neither"),
     (etcd.read_news, b'{"result":{' + HEADER + b',"events":[{"type":"ADD","kv":{"key":"YQ=="}}]}}', "type"),
     (
@@ -290,23 +302,25 @@
 ]
 
 
-@pytest.mark.parametrize(("read", "data", "fault"), ANSWERS)
-def test_illegal_answers_are_one_named_error(read, data: bytes, fault: str) -> None:  # type: ignore[no-untyped-def]
-    with pytest.raises(BadAnswer, match=fault):
-        read(data)
+@pytest.mark.parametrize(("parse", "data", "error"), ANSWERS)
+def test_illegal_answers_raise_bad_answer_with_the_place(parse, data: bytes, error: str) -> None:  # type: ignore[no-untyped-def]
+    with pytest.raises(BadAnswer, match=error):
+        parse(data)
 
 
-def test_a_watch_by_its_bytes() -> None:
+def test_the_bytes_of_a_watch() -> None:
     assert etcd.watch_of(b"/x/", 9) == (
         b'{"create_request":{"key":"L3gv","range_end":"L3gw","start_revision":"9","progress_notify":true}}'
     )
-    news = etcd.read_news(
+    response = etcd.read_news(
         b'{"result":{"header":{"cluster_id":"18446744073709551615","member_id":"2","revision":"12","raft_term":"3"},'
         b'"events":[{"kv":{"key":"L3gvMQ==","create_revision":"10","mod_revision":"11","version":"2","value":"e30="}},'
         b'{"type":"DELETE","kv":{"key":"L3gvMg==","mod_revision":"12"}}]}}'
     )
-    assert isinstance(news, News)
-    assert [(one.type, one.kv.key, one.kv.value, one.kv.mod_revision) for one in news.events] == [
+    assert isinstance(response, WatchResponse)
+    assert [
+        (event.type, event.kv.key, event.kv.value, event.kv.mod_revision) for event in response.events
+    ] == [
         ("PUT", b"/x/1", b"{}", 11),
         ("DELETE", b"/x/2", b"", 12),
     ]
@@ -317,5 +331,5 @@
 
 
 @pytest.mark.parametrize(("prefix", "end"), [(b"/x/", b"/x0"), (b"a\xff", b"b"), (b"\xff\xff", b"\x00")])
-def test_prefix_ends(prefix: bytes, end: bytes) -> None:
+def test_prefix_end(prefix: bytes, end: bytes) -> None:
     assert etcd.prefix_end(prefix) == end
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -1,4 +1,4 @@
-"""The agent's registry source against the stand-in registry, on the virtual kernel and over real sockets."""
+"""The agent's registry client against the simulated registry, on the virtual kernel and over real sockets."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from peattrestle.runtime.virtual import Network, VirtualKernel
 from peattrestle.standin.registry import StandinRegistry
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 SECOND = 1_000_000_000
 
 
-class Followed:
-    """A registry, a source that follows it, and the list as it was told."""
+class FollowedRegistry:
+    """A registry, a client that follows it, and the exchange list that the client published."""
 
     def __init__(self, kernel: Kernel, quiet: int = 2 * SECOND) -> None:
         self.kernel = kernel
         self.registry = StandinRegistry(kernel, "127.0.0.1:0")
         self.list: dict[str, str] = {}
-        self.told_at: dict[str, int] = {}
-        self.tellings = 0
+        self.updated_at: dict[str, int] = {}
+        self.update_count = 0
         self.counts: dict[str, int] = {}
         self.logs: list[tuple[str, dict[str, Any]]] = []
         self.source = Registry(
             kernel,
             (self.registry.address,),
             "/hubs/",
-            self.tell,
+            self.update,
             lambda level, text, **fields: self.logs.append((text, fields)),
             lambda name: self.counts.update({name: self.counts.get(name, 0) + 1}),
             "a1",
@@ -48,24 +48,27 @@
         )
         kernel.spawn(self.source.run(), "source")
 
-    def tell(self, whole: bool, told: Told) -> None:
-        self.tellings += 1
-        for member in told.members:
+    def update(self, whole: bool, update: Told) -> None:
+        self.update_count += 1
+        for member in update.members:
             assert self.list.get(member.name, "gone") != member.entry.state or member.entry.address
             self.list[member.name] = member.entry.state
-            self.told_at[member.name] = self.kernel.now()
+            self.updated_at[member.name] = self.kernel.now()
 
-    def put(self, name: str, state: str = "ready", number: int = 1, **more: Any) -> None:
-        value = {"number": number, "state": state} | more
+    def put(self, name: str, state: str = "ready", number: int = 1, **fields: Any) -> None:
+        value = {"number": number, "state": state} | fields
         self.registry.put(f"/hubs/{name}", json.dumps(value).encode())
 
-    def there(self) -> dict[str, str]:
+    def present(self) -> dict[str, str]:
         return {name: state for name, state in self.list.items() if state != "gone"}
 
 
-def virtual(body: Callable[[Followed], Coroutine[None]], seed: int = 1, **more: Any) -> Followed:
+def run_virtual(
+    body: Callable[[FollowedRegistry], Coroutine[None]], seed: int = 1, **options: Any
+) -> FollowedRegistry:
+    """Runs `body` on a virtual kernel until it stops the kernel, for at most 600 s of virtual time."""
     kernel = VirtualKernel(seed, Network(cut_up=0.3))
-    followed = Followed(kernel, **more)
+    followed = FollowedRegistry(kernel, **options)
     task = kernel.spawn(body(followed), "test", watch=False)
     kernel.run(kernel.now() + 600 * SECOND if not task.done else 0)
     assert task.done
@@ -75,19 +78,19 @@
     return followed
 
 
-def test_reads_watches_and_hears_of_a_drain_at_once() -> None:
-    def body(one: Followed) -> Coroutine[None]:
+def test_a_drain_is_published_within_50_ms() -> None:
+    def body(followed: FollowedRegistry) -> Coroutine[None]:
         for number in range(4):
-            one.put(f"x{number}", number=number)
-        yield from one.kernel.sleep(SECOND)
-        assert one.list == {f"x{number}": "ready" for number in range(4)}
-        at = one.kernel.now()
-        one.put("x2", "draining", 2)
-        yield from one.kernel.sleep(100 * MS)
-        assert one.told_at["x2"] - at < 50 * MS
-        one.kernel.stop()
+            followed.put(f"x{number}", number=number)
+        yield from followed.kernel.sleep(SECOND)
+        assert followed.list == {f"x{number}": "ready" for number in range(4)}
+        drained_at = followed.kernel.now()
+        followed.put("x2", "draining", 2)
+        yield from followed.kernel.sleep(100 * MS)
+        assert followed.updated_at["x2"] - drained_at < 50 * MS
+        followed.kernel.stop()
 
-    virtual(body)
+    run_virtual(body)
 
 
 FAULTS = [
@@ -96,22 +99,22 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_soak_through_every_fault_ends_with_the_same_list(seed: int) -> None:
-    draw = random.Random(seed)
+def test_the_list_is_right_after_every_kind_of_fault(seed: int) -> None:
+    rng = random.Random(seed)
 
-    def body(one: Followed) -> Coroutine[None]:
-        registry, faults = one.registry, one.registry.faults
+    def body(followed: FollowedRegistry) -> Coroutine[None]:
+        registry, faults = followed.registry, followed.registry.faults
         names = [f"x{number}" for number in range(12)]
         for number, name in enumerate(names):
-            one.put(name, number=number)
+            followed.put(name, number=number)
         for _ in range(25):
-            fault = draw.choice(FAULTS)
+            fault = rng.choice(FAULTS)
             if fault == "leave":
                 registry.leave()
             elif fault == "doubled":
                 faults.doubled = True
             elif fault == "cut":
-                faults.cut_after = draw.randrange(400)
+                faults.cut_after = rng.randrange(400)
             elif fault == "mute":
                 faults.mute = True
                 for stream in list(registry.streams):
@@ -125,83 +128,85 @@
             elif fault == "reset":
                 for stream in list(registry.streams):
                     stream.abort()
-            for _ in range(draw.randrange(8)):
-                name = draw.choice(names)
-                if draw.random() < 0.2:
+            for _ in range(rng.randrange(8)):
+                name = rng.choice(names)
+                if rng.random() < 0.2:
                     registry.delete(f"/hubs/{name}")
                 else:
-                    one.put(name, draw.choice(["ready", "draining"]), names.index(name))
-                yield from one.kernel.sleep(draw.randrange(120) * MS)
-            if fault == "compact" or draw.random() < 0.3:
+                    followed.put(name, rng.choice(["ready", "draining"]), names.index(name))
+                yield from followed.kernel.sleep(rng.randrange(120) * MS)
+            if fault == "compact" or rng.random() < 0.3:
                 registry.compact()
             if fault == "progress":
                 registry.progress()
-            yield from one.kernel.sleep(draw.randrange(2000) * MS)
+            yield from followed.kernel.sleep(rng.randrange(2000) * MS)
             faults.doubled = faults.mute = faults.news_stuck = False
             faults.late = faults.error = 0
             faults.cut_after = -1
             registry.come_back()
-        yield from one.kernel.sleep(200 * SECOND)  # flaps are put off for a minute at most
+        yield from followed.kernel.sleep(
+            200 * SECOND
+        )  # readmission after flaps is delayed by at most a minute
         expected = {}
         for name in names:
-            kept = registry.keys.get(f"/hubs/{name}".encode())
-            if kept is not None:
-                expected[name] = json.loads(base64.b64decode(kept["value"]))["state"]
-        assert one.there() == expected
-        one.kernel.stop()
+            record = registry.keys.get(f"/hubs/{name}".encode())
+            if record is not None:
+                expected[name] = json.loads(base64.b64decode(record["value"]))["state"]
+        assert followed.present() == expected
+        followed.kernel.stop()
 
-    followed = virtual(body, seed)
+    followed = run_virtual(body, seed)
     counts = followed.source.follower.counts
     assert counts.breaks > 0 and counts.watches > 3
 
 
-def test_a_watch_that_went_silent_is_taken_up_again_without_a_read() -> None:
-    def body(one: Followed) -> Coroutine[None]:
-        one.put("x1")
-        yield from one.kernel.sleep(SECOND)
-        one.registry.faults.news_stuck = True
-        one.put("x1", "draining")
-        yield from one.kernel.sleep(500 * MS)
-        assert one.list["x1"] == "ready"
-        one.registry.faults.news_stuck = False
-        yield from one.kernel.sleep(2 * SECOND)
-        assert one.list["x1"] == "draining"
-        assert one.source.follower.counts.reads == 1
-        one.kernel.stop()
+def test_a_silent_watch_is_resumed_without_a_full_read() -> None:
+    def body(followed: FollowedRegistry) -> Coroutine[None]:
+        followed.put("x1")
+        yield from followed.kernel.sleep(SECOND)
+        followed.registry.faults.news_stuck = True
+        followed.put("x1", "draining")
+        yield from followed.kernel.sleep(500 * MS)
+        assert followed.list["x1"] == "ready"
+        followed.registry.faults.news_stuck = False
+        yield from followed.kernel.sleep(2 * SECOND)
+        assert followed.list["x1"] == "draining"
+        assert followed.source.follower.counts.reads == 1
+        followed.kernel.stop()
 
-    virtual(body)
+    run_virtual(body)
 
 
-def test_another_registry_in_its_place_is_named_and_an_empty_one_takes_nothing_away_at_once() -> None:
-    def body(one: Followed) -> Coroutine[None]:
+def test_a_replaced_and_empty_registry_is_logged_and_removes_nothing_at_once() -> None:
+    def body(followed: FollowedRegistry) -> Coroutine[None]:
         for number in range(6):
-            one.put(f"x{number}", number=number)
-        yield from one.kernel.sleep(SECOND)
-        one.registry.restore({}, 3, 99)
-        yield from one.kernel.sleep(10 * SECOND)
-        assert len(one.there()) == 6
-        assert any("another" in text for text, _ in one.logs)
-        assert any("kept as doubtful" in text for text, _ in one.logs)
-        yield from one.kernel.sleep(25 * SECOND)
-        assert one.there() == {}
-        one.kernel.stop()
+            followed.put(f"x{number}", number=number)
+        yield from followed.kernel.sleep(SECOND)
+        followed.registry.restore({}, 3, 99)
+        yield from followed.kernel.sleep(10 * SECOND)
+        assert len(followed.present()) == 6
+        assert any("another" in text for text, _ in followed.logs)
+        assert any("kept as doubtful" in text for text, _ in followed.logs)
+        yield from followed.kernel.sleep(25 * SECOND)
+        assert followed.present() == {}
+        followed.kernel.stop()
 
-    virtual(body)
+    run_virtual(body)
 
 
 def test_real_sockets() -> None:
     kernel = EpollKernel(1)
-    one = Followed(kernel)
+    followed = FollowedRegistry(kernel)
 
     def body() -> Coroutine[None]:
-        one.put("x1")
-        while one.list.get("x1") != "ready":
+        followed.put("x1")
+        while followed.list.get("x1") != "ready":
             yield from kernel.sleep(10 * MS)
-        one.registry.leave()
-        one.put("x1", "draining")
+        followed.registry.leave()
+        followed.put("x1", "draining")
         yield from kernel.sleep(200 * MS)
-        one.registry.come_back()
-        while one.list.get("x1") != "draining":
+        followed.registry.come_back()
+        while followed.list.get("x1") != "draining":
             yield from kernel.sleep(10 * MS)
         kernel.stop()
 
@@ -209,4 +214,4 @@
     kernel.at(kernel.now() + 20 * SECOND, kernel.stop)
     kernel.run()
     kernel.close()
-    assert one.list == {"x1": "draining"} and kernel.crashes == []
+    assert followed.list == {"x1": "draining"} and kernel.crashes == []
