--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -241,7 +241,7 @@
 
     try:
         split(address)
-        length, standing = schema.duration_of(patience), schema.duration_of(hold)
+        length, standing = schema.parse_duration(patience), schema.parse_duration(hold)
     except ValueError as fault:
         fail(WRONG, fault)
     asked = SetUpAsked(
--- a/peattrestle/settings/__init__.py
+++ b/peattrestle/settings/__init__.py
@@ -1,1 +1,1 @@
-"""HCL to one checked, typed, immutable value; the table of defaults with units and bounds."""
+"""Reads HCL settings files into immutable, validated dataclasses that declare defaults, units and bounds."""
--- a/peattrestle/settings/hcl.py
+++ b/peattrestle/settings/hcl.py
@@ -1,4 +1,4 @@
-"""An HCL file as blocks and attributes that know their lines. The grammar is python-hcl2's."""
+"""Parses an HCL file into blocks and attributes with their line numbers. The grammar is python-hcl2's."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One plain sentence, with the place it speaks of; line 0 is the file as a whole."""
+    """A fault in a settings file: one sentence and its place. Line 0 means the file as a whole."""
 
     file: str
     line: int
@@ -21,6 +21,8 @@
 
 @dataclass(slots=True)
 class Attribute:
+    """A setting as it stands in the file, not yet checked."""
+
     name: str
     value: Any
     line: int
@@ -28,6 +30,8 @@
 
 @dataclass(slots=True)
 class Block:
+    """A block with its labels, attributes and inner blocks."""
+
     name: str
     labels: tuple[str, ...]
     line: int
@@ -35,38 +39,38 @@
     blocks: list[Block] = field(default_factory=list)
 
 
-MOST_BYTES = 1 << 20
+MAX_FILE_BYTES = 1 << 20
 
 
 def read_file(path: str) -> tuple[Block, list[Fault]]:
-    """As `read`, of a file; one that can't be read is a fault like any other."""
+    """As `read`, for the file at `path`. A file that can't be read is returned as a fault."""
     try:
         return read(Path(path).read_text(encoding="utf-8"), path)
-    except OSError as fault:
-        return Block("", (), 1), [Fault(path, 0, f"can't be read: {fault.strerror}")]
+    except OSError as error:
+        return Block("", (), 1), [Fault(path, 0, f"can't be read: {error.strerror}")]
     except UnicodeDecodeError:
         return Block("", (), 1), [Fault(path, 0, "can't be read: is not UTF-8")]
 
 
 def read(text: str, file: str) -> tuple[Block, list[Fault]]:
-    """The file's top as a block without a name. Faults of form are returned, never raised."""
+    """Returns the top level of the file as a block without a name. Syntax errors are returned as faults."""
     top = Block("", (), 1)
-    if len(text) > MOST_BYTES:
-        return top, [Fault(file, 0, f"is longer than {MOST_BYTES} bytes")]
-    import hcl2  # its grammar takes some seconds to build, so only who reads a file pays for it
+    if len(text) > MAX_FILE_BYTES:
+        return top, [Fault(file, 0, f"is longer than {MAX_FILE_BYTES} bytes")]
+    import hcl2  # takes some seconds to build its grammar, so it is imported only when a file is read
     from hcl2.utils import SerializationOptions
     from lark.exceptions import LarkError
 
     options = SerializationOptions(with_comments=False, strip_string_quotes=True, explicit_blocks=False)
     try:
         tree = hcl2.parses(text)
-    except LarkError as fault:
-        line, column = getattr(fault, "line", 0), getattr(fault, "column", 0)
-        token = getattr(fault, "token", None)
-        what = f" at '{str(token).strip()[:20]}'" if token is not None else ""
+    except LarkError as error:
+        line, column = getattr(error, "line", 0), getattr(error, "column", 0)
+        token = getattr(error, "token", None)
+        where = f" at '{str(token).strip()[:20]}'" if token is not None else ""
         if not isinstance(line, int) or line < 1:
             line, column = text.count("\n") + 1, 1
-        return top, [Fault(file, line, f"column {column}: not HCL{what}")]
+        return top, [Fault(file, line, f"column {column}: not HCL{where}")]
 
     def fill(block: Block, body: Any) -> None:
         for child in body.children:
--- a/peattrestle/settings/schema.py
+++ b/peattrestle/settings/schema.py
@@ -1,6 +1,6 @@
-"""Settings declared as fields of frozen dataclasses, and the check of a block against such a class.
+"""Declares settings as fields of frozen dataclasses, and checks a block of a file against such a class.
 
-Each field carries its kind, bounds and a sentence; the class is the table. `check` finds all faults at once.
+Each field has a type, bounds and a description in its metadata. `check` reports all faults at once.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from peattrestle.settings.hcl import Attribute, Block, Fault
 
 C = TypeVar("C")
-UNITS = {
+UNITS = {  # nanoseconds
     "ns": 1,
     "us": 1_000,
     "ms": 1_000_000,
@@ -28,94 +28,112 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """What a value must be: 'duration', 'whole', 'number', 'flag', 'text', 'name', 'address', 'choice',
-    'wholes', 'texts'."""
+class SettingType:
+    """The type, bounds and description of a setting.
+
+    `kind`: 'duration', 'whole', 'number', 'flag', 'text', 'name', 'address', 'choice', 'wholes' or 'texts'.
+    `minimum` and `maximum` are nanoseconds for a duration.
+    """
 
     kind: str
-    sentence: str
-    least: float = 0
-    most: float = 0
+    description: str
+    minimum: float = 0
+    maximum: float = 0
     choices: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Inner:
-    """A block inside: its class, and whether there may be many, told apart by their label."""
+class InnerBlock:
+    """An inner block: its class, and whether it may be repeated, then with a label.
+
+    `min_count`: how many there must be at least.
+    """
 
     cls: type
-    many: bool
-    sentence: str
-    least: int = 0
+    is_repeated: bool
+    description: str
+    min_count: int = 0
 
 
-def _setting(kind: Kind, default: Any) -> Any:
+def _setting(kind: SettingType, default: Any) -> Any:
     if default is REQUIRED:
         return field(metadata={"kind": kind})
     return field(default=default, metadata={"kind": kind})
 
 
-def duration_of(text: str) -> int:
-    """Nanoseconds of a text as "300ms". Raises ValueError."""
+def parse_duration(text: str) -> int:
+    """Converts a text such as "300ms" to nanoseconds. Raises ValueError."""
     match = _DURATION.fullmatch(text.strip())
     if match is None:
         raise ValueError(f"'{text}' is not a duration")
     return round(float(match.group(1)) * UNITS[match.group(2)])
 
 
-def duration(default: Any, least: str, most: str, sentence: str) -> Any:
-    value = duration_of(default) if isinstance(default, str) else default
-    return _setting(Kind("duration", sentence, duration_of(least), duration_of(most)), value)
+def duration(default: Any, minimum: str, maximum: str, description: str) -> Any:
+    """Declares a duration; the value is nanoseconds. The default and bounds are texts such as "300ms"."""
+    value = parse_duration(default) if isinstance(default, str) else default
+    return _setting(
+        SettingType("duration", description, parse_duration(minimum), parse_duration(maximum)), value
+    )
 
 
-def whole(default: Any, least: int, most: int, sentence: str) -> Any:
-    return _setting(Kind("whole", sentence, least, most), default)
+def whole(default: Any, minimum: int, maximum: int, description: str) -> Any:
+    """Declares an integer within bounds."""
+    return _setting(SettingType("whole", description, minimum, maximum), default)
 
 
-def number(default: Any, least: float, most: float, sentence: str) -> Any:
-    return _setting(Kind("number", sentence, least, most), default)
+def number(default: Any, minimum: float, maximum: float, description: str) -> Any:
+    """Declares a number within bounds."""
+    return _setting(SettingType("number", description, minimum, maximum), default)
 
 
-def flag(default: bool, sentence: str) -> Any:
-    return _setting(Kind("flag", sentence), default)
+def flag(default: bool, description: str) -> Any:
+    """Declares a boolean."""
+    return _setting(SettingType("flag", description), default)
 
 
-def text(default: Any, sentence: str) -> Any:
-    return _setting(Kind("text", sentence), default)
+def text(default: Any, description: str) -> Any:
+    """Declares a string of at most 4096 characters."""
+    return _setting(SettingType("text", description), default)
 
 
-def name(default: Any, sentence: str) -> Any:
-    return _setting(Kind("name", sentence), default)
+def name(default: Any, description: str) -> Any:
+    """Declares a name of letters, digits, '.', '_' and '-', at most 63 characters long."""
+    return _setting(SettingType("name", description), default)
 
 
-def address(default: Any, sentence: str) -> Any:
-    """Where the default is empty, so may the setting be."""
-    return _setting(Kind("address", sentence, choices=("",) if default == "" else ()), default)
+def address(default: Any, description: str) -> Any:
+    """Declares a loopback address as host:port; it may be empty if the default is."""
+    return _setting(SettingType("address", description, choices=("",) if default == "" else ()), default)
 
 
-def choice(default: Any, choices: tuple[str, ...], sentence: str) -> Any:
-    return _setting(Kind("choice", sentence, choices=choices), default)
+def choice(default: Any, choices: tuple[str, ...], description: str) -> Any:
+    """Declares a string that is one of `choices`."""
+    return _setting(SettingType("choice", description, choices=choices), default)
 
 
-def wholes(default: Any, least: int, most: int, sentence: str) -> Any:
-    return _setting(Kind("wholes", sentence, least, most), default)
+def wholes(default: Any, minimum: int, maximum: int, description: str) -> Any:
+    """Declares a list of integers within bounds."""
+    return _setting(SettingType("wholes", description, minimum, maximum), default)
 
 
-def texts(default: Any, choices: tuple[str, ...], sentence: str) -> Any:
-    return _setting(Kind("texts", sentence, choices=choices), default)
+def texts(default: Any, choices: tuple[str, ...], description: str) -> Any:
+    """Declares a list of strings, each one of `choices` unless that is empty."""
+    return _setting(SettingType("texts", description, choices=choices), default)
 
 
-def block(cls: type, sentence: str) -> Any:
-    """One block of this class; where the file has none, all its defaults."""
-    return field(default_factory=cls, metadata={"inner": Inner(cls, False, sentence)})
+def block(cls: type, description: str) -> Any:
+    """Declares one block of this class; a file without it gets the class's defaults."""
+    return field(default_factory=cls, metadata={"inner": InnerBlock(cls, False, description)})
 
 
-def blocks(cls: type, sentence: str, least: int = 0) -> Any:
-    """Blocks of this class, each with a label, which goes into its field `label`."""
-    return field(default=(), metadata={"inner": Inner(cls, True, sentence, least)})
+def blocks(cls: type, description: str, least: int = 0) -> Any:
+    """Declares at least `least` blocks of this class, each with a label, which becomes the field `label`."""
+    return field(default=(), metadata={"inner": InnerBlock(cls, True, description, least)})
 
 
-def show_duration(value: float) -> str:
+def format_duration(value: float) -> str:
+    """Formats nanoseconds in the largest unit without a remainder, as a text for `parse_duration`."""
     for unit in ("min", "s", "ms", "us"):
         if value and value % UNITS[unit] == 0:
             return f"{int(value // UNITS[unit])}{unit}"
@@ -123,6 +141,7 @@
 
 
 def is_address(value: Any) -> bool:
+    """Whether `value` is a loopback address as host:port."""
     return _address(value) is not None
 
 
@@ -137,168 +156,183 @@
     return str(value)
 
 
-def _convert(kind: Kind, value: Any) -> tuple[Any, str]:
-    """The value, or what would be right."""
-    plain_number = isinstance(value, (int, float)) and not isinstance(value, bool)
+def _convert(kind: SettingType, value: Any) -> tuple[Any, str]:
+    """Returns the converted value and an empty text, or None and what is allowed."""
+    is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
     match kind.kind:
         case "duration":
-            least, most = show_duration(kind.least), show_duration(kind.most)
-            wanted = f'must be a duration in quotes, like "300ms", from {least} to {most}'
+            minimum, maximum = format_duration(kind.minimum), format_duration(kind.maximum)
+            expected = f'must be a duration in quotes, like "300ms", from {minimum} to {maximum}'
             try:
-                nanoseconds = duration_of(value) if isinstance(value, str) else -1
+                nanoseconds = parse_duration(value) if isinstance(value, str) else -1
             except ValueError:
-                return None, wanted
-            return (nanoseconds, "") if kind.least <= nanoseconds <= kind.most else (None, wanted)
+                return None, expected
+            return (nanoseconds, "") if kind.minimum <= nanoseconds <= kind.maximum else (None, expected)
         case "whole" | "number":
-            wanted = (
-                f"must be a {'whole ' * (kind.kind == 'whole')}number from {kind.least:g} to {kind.most:g}"
+            expected = (
+                f"must be a {'whole ' * (kind.kind == 'whole')}number "
+                f"from {kind.minimum:g} to {kind.maximum:g}"
             )
-            if not plain_number or kind.kind == "whole" and not isinstance(value, int):
-                return None, wanted
-            return (value, "") if kind.least <= value <= kind.most else (None, wanted)
+            if not is_number or kind.kind == "whole" and not isinstance(value, int):
+                return None, expected
+            return (value, "") if kind.minimum <= value <= kind.maximum else (None, expected)
         case "flag":
             return (value, "") if isinstance(value, bool) else (None, "must be true or false")
         case "text":
-            good = isinstance(value, str) and len(value) <= 4096
-            return (value, "") if good else (None, "must be a text in quotes")
+            is_valid = isinstance(value, str) and len(value) <= 4096
+            return (value, "") if is_valid else (None, "must be a text in quotes, of at most 4096 characters")
         case "name":
-            good = isinstance(value, str) and _NAME.fullmatch(value) is not None
-            return (value, "") if good else (None, "must be a name of letters, digits, '.', '_' and '-'")
+            is_valid = isinstance(value, str) and _NAME.fullmatch(value) is not None
+            return (value, "") if is_valid else (None, "must be a name of letters, digits, '.', '_' and '-'")
         case "address":
-            good = value in kind.choices or is_address(value)
-            return (value, "") if good else (None, 'must be a loopback address, like "127.0.0.1:2944"')
+            is_valid = value in kind.choices or is_address(value)
+            return (value, "") if is_valid else (None, 'must be a loopback address, like "127.0.0.1:2944"')
         case "choice":
-            wanted = "must be one of " + ", ".join(f'"{one}"' for one in kind.choices)
-            return (value, "") if value in kind.choices else (None, wanted)
+            expected = "must be one of " + ", ".join(f'"{option}"' for option in kind.choices)
+            return (value, "") if value in kind.choices else (None, expected)
         case "wholes":
-            good = isinstance(value, list) and all(
-                isinstance(one, int) and not isinstance(one, bool) and kind.least <= one <= kind.most
-                for one in value
+            is_valid = isinstance(value, list) and all(
+                isinstance(item, int) and not isinstance(item, bool) and kind.minimum <= item <= kind.maximum
+                for item in value
             )
-            wanted = f"must be a list of whole numbers from {kind.least:g} to {kind.most:g}"
-            return (tuple(value), "") if good else (None, wanted)
+            expected = f"must be a list of whole numbers from {kind.minimum:g} to {kind.maximum:g}"
+            return (tuple(value), "") if is_valid else (None, expected)
         case "texts":
-            good = isinstance(value, list) and all(
-                isinstance(one, str) and (not kind.choices or one in kind.choices) for one in value
+            is_valid = isinstance(value, list) and all(
+                isinstance(item, str) and (not kind.choices or item in kind.choices) for item in value
             )
-            wanted = "must be a list of texts" + (
+            expected = "must be a list of texts" + (
                 f" out of {', '.join(kind.choices)}" if kind.choices else ""
             )
-            return (tuple(value), "") if good else (None, wanted)
+            return (tuple(value), "") if is_valid else (None, expected)
     raise AssertionError(kind.kind)
 
 
-def _nearest(word: str, known: list[str]) -> str:
-    near = difflib.get_close_matches(word, known, 1, 0.5)
-    return f"; the nearest known name is '{near[0]}'" if near else ""
+def _suggestion(word: str, known: list[str]) -> str:
+    matches = difflib.get_close_matches(word, known, 1, 0.5)
+    return f"; the nearest known name is '{matches[0]}'" if matches else ""
 
 
 def check(cls: type[C], read: Block, file: str) -> tuple[C | None, list[Fault]]:
-    """The block as a `cls`, or None and every fault in it."""
+    """Returns the block as an instance of `cls`, or None and all faults. `file` is named in the faults."""
     faults: list[Fault] = []
-    fields = {one.name: one for one in dataclasses.fields(cls)}  # type: ignore[arg-type]
-    settings = {key: one for key, one in fields.items() if "kind" in one.metadata}
-    inner = {key: one for key, one in fields.items() if "inner" in one.metadata}
+    fields = {setting.name: setting for setting in dataclasses.fields(cls)}  # type: ignore[arg-type]
+    settings = {key: setting for key, setting in fields.items() if "kind" in setting.metadata}
+    inner = {key: setting for key, setting in fields.items() if "inner" in setting.metadata}
     values: dict[str, Any] = {}
     seen: dict[str, Attribute] = {}
     where = f"{read.name} " if read.name else ""
-    for one in read.attributes:
-        if one.name not in settings:
+    for attribute in read.attributes:
+        if attribute.name not in settings:
             known = [*settings, *inner]
-            hint = " is a block, not a value" if one.name in inner else _nearest(one.name, known)
+            hint = (
+                " is a block, not a value" if attribute.name in inner else _suggestion(attribute.name, known)
+            )
             faults.append(
                 Fault(
-                    file, one.line, f"'{one.name}' is not a setting of {where or 'the file'}".rstrip() + hint
+                    file,
+                    attribute.line,
+                    f"'{attribute.name}' is not a setting of {where or 'the file'}".rstrip() + hint,
                 )
             )
-        elif one.name in seen:
+        elif attribute.name in seen:
             faults.append(
-                Fault(file, one.line, f"'{one.name}' is set twice, first in line {seen[one.name].line}")
+                Fault(
+                    file,
+                    attribute.line,
+                    f"'{attribute.name}' is set twice, first in line {seen[attribute.name].line}",
+                )
             )
         else:
-            value, wanted = _convert(settings[one.name].metadata["kind"], one.value)
-            if wanted:
-                faults.append(Fault(file, one.line, f"'{one.name}' {wanted}"))
-            values[one.name] = value
-            seen[one.name] = one
+            value, expected = _convert(settings[attribute.name].metadata["kind"], attribute.value)
+            if expected:
+                faults.append(Fault(file, attribute.line, f"'{attribute.name}' {expected}"))
+            values[attribute.name] = value
+            seen[attribute.name] = attribute
     for key, declared in settings.items():
         if key not in seen and declared.default is REQUIRED and key != "label":
-            kind: Kind = declared.metadata["kind"]
-            faults.append(Fault(file, read.line, f"{where}needs '{key}': {kind.sentence}"))
+            kind: SettingType = declared.metadata["kind"]
+            faults.append(Fault(file, read.line, f"{where}needs '{key}': {kind.description}"))
     if "label" in fields:
-        plain = fields["label"].metadata["kind"].kind == "text"
-        if len(read.labels) == 1 and (plain or _NAME.fullmatch(read.labels[0])):
+        is_text = fields["label"].metadata["kind"].kind == "text"
+        if len(read.labels) == 1 and (is_text or _NAME.fullmatch(read.labels[0])):
             values["label"] = read.labels[0]
         else:
-            faults.append(Fault(file, read.line, f"{where}needs one name in quotes behind it"))
+            faults.append(Fault(file, read.line, f"{where}needs one name in quotes after it"))
     elif read.labels:
-        faults.append(Fault(file, read.line, f"{where}takes no name behind it"))
-    many: dict[str, list[Any]] = {}
+        faults.append(Fault(file, read.line, f"{where}takes no name after it"))
+    repeated: dict[str, list[Any]] = {}
     labels: set[tuple[str, str]] = set()
-    for one_block in read.blocks:
-        declared_block = inner.get(one_block.name)
+    for child in read.blocks:
+        declared_block = inner.get(child.name)
         if declared_block is None:
             hint = (
-                " is a value, not a block"
-                if one_block.name in settings
-                else _nearest(one_block.name, list(inner))
+                " is a value, not a block" if child.name in settings else _suggestion(child.name, list(inner))
             )
             faults.append(
                 Fault(
                     file,
-                    one_block.line,
-                    f"'{one_block.name}' is not a block of {where or 'the file'}".rstrip() + hint,
+                    child.line,
+                    f"'{child.name}' is not a block of {where or 'the file'}".rstrip() + hint,
                 )
             )
             continue
-        meta: Inner = declared_block.metadata["inner"]
-        value, inside = check(meta.cls, one_block, file)
-        faults += inside
-        if not meta.many:
-            if one_block.name in values:
-                faults.append(Fault(file, one_block.line, f"'{one_block.name}' stands twice"))
-            values[one_block.name] = value
+        inner_block: InnerBlock = declared_block.metadata["inner"]
+        value, inner_faults = check(inner_block.cls, child, file)
+        faults += inner_faults
+        if not inner_block.is_repeated:
+            if child.name in values:
+                faults.append(Fault(file, child.line, f"'{child.name}' appears twice"))
+            values[child.name] = value
         else:
-            label = (one_block.name, one_block.labels[0] if one_block.labels else "")
-            if label in labels and "label" in {one.name for one in dataclasses.fields(meta.cls)}:
-                faults.append(Fault(file, one_block.line, f'{one_block.name} "{label[1]}" stands twice'))
+            label = (child.name, child.labels[0] if child.labels else "")
+            if label in labels and "label" in {
+                setting.name for setting in dataclasses.fields(inner_block.cls)
+            }:
+                faults.append(Fault(file, child.line, f'{child.name} "{label[1]}" appears twice'))
             labels.add(label)
-            many.setdefault(one_block.name, []).append(value)
+            repeated.setdefault(child.name, []).append(value)
     for key, declared in inner.items():
-        meta = declared.metadata["inner"]
-        if meta.many:
-            values[key] = tuple(many.get(key, ()))
-            if len(values[key]) < meta.least:
-                faults.append(Fault(file, read.line, f"{where}needs a block '{key}': {meta.sentence}"))
+        inner_block = declared.metadata["inner"]
+        if inner_block.is_repeated:
+            values[key] = tuple(repeated.get(key, ()))
+            if len(values[key]) < inner_block.min_count:
+                faults.append(
+                    Fault(file, read.line, f"{where}needs a block '{key}': {inner_block.description}")
+                )
         elif key not in values:
-            values[key], inside = check(meta.cls, Block(key, (), read.line), file)
-            faults += inside
+            values[key], inner_faults = check(inner_block.cls, Block(key, (), read.line), file)
+            faults += inner_faults
     if faults:
         return None, faults
     return cls(**values), []
 
 
 def to_hcl(value: Any, name: str, depth: int = 0) -> str:
-    """A settings value as an HCL block that reads back to the same value."""
-    pad = "  " * depth
+    """Formats a settings object as an HCL block that reads back to an equal object."""
+    indent = "  " * depth
     label = f' "{value.label}"' if hasattr(value, "label") else ""
-    lines = [f"{pad}{name}{label} {{"]
-    for one in dataclasses.fields(value):
-        here = getattr(value, one.name)
-        if "inner" in one.metadata:
+    lines = [f"{indent}{name}{label} {{"]
+    for setting in dataclasses.fields(value):
+        current = getattr(value, setting.name)
+        if "inner" in setting.metadata:
             lines += [
-                to_hcl(inner, one.name, depth + 1)
-                for inner in (here if one.metadata["inner"].many else (here,))
+                to_hcl(inner, setting.name, depth + 1)
+                for inner in (current if setting.metadata["inner"].is_repeated else (current,))
             ]
-        elif one.name != "label":
-            kind: Kind = one.metadata["kind"]
+        elif setting.name != "label":
+            kind: SettingType = setting.metadata["kind"]
             if kind.kind == "duration":
-                shown = f'"{show_duration(here)}"'
+                shown = f'"{format_duration(current)}"'
             elif kind.kind in ("wholes", "texts"):
-                shown = "[" + ", ".join(str(x) if isinstance(x, int) else f'"{x}"' for x in here) + "]"
-            elif isinstance(here, bool):
-                shown = "true" if here else "false"
+                shown = (
+                    "["
+                    + ", ".join(str(item) if isinstance(item, int) else f'"{item}"' for item in current)
+                    + "]"
+                )
+            elif isinstance(current, bool):
+                shown = "true" if current else "false"
             else:
-                shown = f'"{here}"' if isinstance(here, str) else repr(here)
-            lines.append(f"{pad}  {one.name} = {shown}")
-    return "\n".join([*lines, pad + "}"])
+                shown = f'"{current}"' if isinstance(current, str) else repr(current)
+            lines.append(f"{indent}  {setting.name} = {shown}")
+    return "\n".join([*lines, indent + "}"])
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,3 +1,5 @@
+"""Reading and checking settings files: every fault is reported with its line and what is allowed."""
+
 from __future__ import annotations
 
 from pathlib import Path
@@ -20,7 +22,7 @@
 """
 
 
-def test_a_good_file_and_its_defaults() -> None:
+def test_a_valid_file_and_its_defaults() -> None:
     agent, faults = parse(GOOD, "x.hcl")
     assert faults == [] and agent is not None
     assert (agent.label, agent.rules.release_time, agent.rules.drain_grace) == (
@@ -28,7 +30,7 @@
         250_000_000,
         1_000_000_000,
     )
-    assert [(one.label, one.gos_target) for one in agent.bearer] == [("line", 1_500_000_000)]
+    assert [(bearer.label, bearer.gos_target) for bearer in agent.bearer] == [("line", 1_500_000_000)]
 
 
 def test_a_registry_in_place_of_a_list() -> None:
@@ -38,13 +40,13 @@
     assert parse(schema.to_hcl(agent, "agent"), "y.hcl") == (agent, [])
 
 
-def test_what_is_shown_reads_back_to_the_same() -> None:
+def test_formatted_settings_read_back_to_the_same() -> None:
     agent, _ = parse(GOOD, "x.hcl")
     assert parse(schema.to_hcl(agent, "agent"), "y.hcl") == (agent, [])
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "said"),
+    ("old", "new", "line", "message"),
     [
         ("number  = 3", "", 2, "needs 'number'"),
         ("number  = 3", "numbr = 3", 3, "the nearest known name is 'number'"),
@@ -70,25 +72,27 @@
             2,
             "endpoint 'registry:2379' must be a loopback address",
         ),
-        ('bearer "line"', "bearer", 8, "needs one name in quotes"),
+        ('bearer "line"', "bearer", 8, "needs one name in quotes after it"),
         ('bearer "line"', 'barer "line"', 8, "the nearest known name is 'bearer'"),
         ('"1.5s"', '"30s"', 2, "gos_target is longer than abandon_time"),
-        ('agent "a3" {', 'agent "a3" {\n rules { }', 8, "'rules' stands twice"),
+        ('agent "a3" {', 'agent "a3" {\n rules { }', 8, "'rules' appears twice"),
         ('agent "a3"', 'agent "a 3"', 2, "needs one name"),
         ("agents  = 8", "agents = = 8", 4, "not HCL"),
         ("}\n}", "}", 9, "not HCL"),
     ],
 )
-def test_each_fault_with_its_line_and_what_would_be_right(old: str, new: str, line: int, said: str) -> None:
+def test_each_fault_names_its_line_and_what_is_allowed(old: str, new: str, line: int, message: str) -> None:
     assert old in GOOD
     agent, faults = parse(GOOD.replace(old, new, 1), "x.hcl")
     assert agent is None
-    assert any(fault.line == line and said in str(fault) for fault in faults), [str(one) for one in faults]
+    assert any(fault.line == line and message in str(fault) for fault in faults), [
+        str(fault) for fault in faults
+    ]
 
 
 def test_all_faults_at_once() -> None:
-    bad = GOOD.replace("number  = 3", "number = -1").replace('"250ms"', "true").replace("1.5s", "x")
-    _, faults = parse(bad, "x.hcl")
+    text = GOOD.replace("number  = 3", "number = -1").replace('"250ms"', "true").replace("1.5s", "x")
+    _, faults = parse(text, "x.hcl")
     assert [fault.line for fault in faults] == [3, 7, 8]
 
 
@@ -98,7 +102,7 @@
     assert agent is None and faults
 
 
-def test_a_file_that_is_not_there() -> None:
+def test_a_missing_file() -> None:
     assert load_script("/nowhere/x.hcl")[1][0].text.startswith("can't be read")
 
 
@@ -106,8 +110,8 @@
     ("text", "nanoseconds"), [("1ns", 1), ("1.5s", 1_500_000_000), ("2 min", 120_000_000_000), ("0ms", 0)]
 )
 def test_durations(text: str, nanoseconds: int) -> None:
-    assert schema.duration_of(text) == nanoseconds
-    assert schema.duration_of(schema.show_duration(nanoseconds)) == nanoseconds
+    assert schema.parse_duration(text) == nanoseconds
+    assert schema.parse_duration(schema.format_duration(nanoseconds)) == nanoseconds
 
 
 def test_defaults_are_within_their_bounds() -> None:
@@ -128,7 +132,7 @@
 
 
 @pytest.mark.parametrize(
-    ("base", "script", "said"),
+    ("base", "script", "message"),
     [
         (BASE, 'fleet { busy = 0.7 }\nload { level = 0.5 }\nload {\n level = 0.6\n at = "5s"\n}', ""),
         (None, "", "base.hcl: can't be read: No such file"),
@@ -137,13 +141,17 @@
         ('base = "other.hcl"' + BASE, "", "base.hcl:1: is a base, and names one itself"),
     ],
 )
-def test_a_script_laid_over_its_base(tmp_path: Path, base: str | None, script: str, said: str) -> None:
+def test_a_script_merged_into_its_base(tmp_path: Path, base: str | None, script: str, message: str) -> None:
     if base is not None:
         (tmp_path / "base.hcl").write_text(base)
     (tmp_path / "x.hcl").write_text('base = "base.hcl"\n' + script)
-    read, faults = load_script(str(tmp_path / "x.hcl"))
-    if said:
-        assert read is None and said in "\n".join(str(one) for one in faults)
+    merged, faults = load_script(str(tmp_path / "x.hcl"))
+    if message:
+        assert merged is None and message in "\n".join(str(fault) for fault in faults)
     else:
-        assert read is not None and (read.title, read.fleet.exchanges, read.fleet.busy) == ("base", 6, 0.7)
-        assert [(one.at, one.level) for one in read.load] == [(0, 0.5), (5_000_000_000, 0.6)]
+        assert merged is not None and (merged.title, merged.fleet.exchanges, merged.fleet.busy) == (
+            "base",
+            6,
+            0.7,
+        )
+        assert [(step.at, step.level) for step in merged.load] == [(0, 0.5), (5_000_000_000, 0.6)]
