--- a/peattrestle/wirehost/__init__.py
+++ b/peattrestle/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: lines in, lines out, one controller for each call agent."""
+"""Adapter to the simulator's line protocol on standard input and output; one controller per call agent."""
--- a/peattrestle/wirehost/__main__.py
+++ b/peattrestle/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""python -m peattrestle.wirehost"""
+"""Runs the adapter: `python -m peattrestle.wirehost`."""
 
 from peattrestle.wirehost.host import main
 
--- a/peattrestle/wirehost/host.py
+++ b/peattrestle/wirehost/host.py
@@ -1,4 +1,4 @@
-"""Reads batches, hands them to the instances, writes their actions."""
+"""Reads batches of events, passes them to the agents' controllers and writes the controllers' actions."""
 
 from __future__ import annotations
 
@@ -15,12 +15,18 @@
 
 @dataclass(slots=True)
 class Instance:
+    """The controller of one agent. `fields`: the names of the values in a load report, in their order."""
+
     controller: Controller
     fields: tuple[str, ...]
 
 
 def line_of(agent: int, action: api.Action) -> str:
-    """Waits to be kept are rounded up, time-outs down, so that none gets shorter than a rule allows."""
+    """Returns the line for an action of the agent numbered `agent`.
+
+    Converts nanoseconds to microseconds: delays and timers are rounded up, timeouts down, so that no rule
+    is broken by rounding.
+    """
     match action:
         case api.SetUp(call, exchange, patience):
             return f"issue Agent={agent} Id={call} Exchange={exchange} MaxWaitUs={patience // US}"
@@ -37,7 +43,10 @@
 
 
 class Host:
-    """Batches come as lists of events by instance, in the order of arrival."""
+    """Runs the controllers of all agents over one input and one output.
+
+    The events of a batch are passed to each controller as one list, in the order of arrival.
+    """
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source = source
@@ -45,30 +54,33 @@
         self.instances: dict[int, Instance] = {}
         self.lists: dict[int, tuple[api.Entry, ...]] = {}
         self.now = 0
-        self.number = 0
+        self.line_number = 0
         self.pending: dict[int, list[api.Event]] = {}
         self.reply: list[str] = []
 
     def run(self) -> None:
+        """Handles batches until the input ends. Raises `Malformed`."""
         while text := self.source.readline():
-            self.number += 1
+            self.line_number += 1
             if text == "\n":
                 continue
             line = Line(text.rstrip("\n"))
             if line.kind == "turn":
-                self.now = line.needed("SimTimeUs") * US
-                self.batch()
+                self.now = line.required("SimTimeUs") * US
+                self.handle_batch()
 
     def next_line(self) -> Line:
+        """Reads the next line of a batch. Raises `Malformed` if the input ends."""
         text = self.source.readline()
-        self.number += 1
+        self.line_number += 1
         if not text.endswith("\n"):
-            raise Malformed("the input ends within a batch")
+            raise Malformed("the input ends in the middle of a batch")
         return Line(text[:-1])
 
-    def batch(self) -> None:
+    def handle_batch(self) -> None:
+        """Handles one batch, up to its line `go`, and writes the actions and `ack`."""
         while (line := self.next_line()).kind != "go":
-            self.take(line)
+            self.handle_line(line)
         for agent, events in self.pending.items():
             actions = self.instances[agent].controller.handle(self.now, events)
             self.reply.extend(line_of(agent, action) for action in actions)
@@ -78,54 +90,63 @@
         self.sink.flush()
         self.reply.clear()
 
-    def take(self, line: Line) -> None:
+    def handle_line(self, line: Line) -> None:
+        """Handles one line of a batch: exchange lists and agents at once, events when the batch is complete.
+
+        Lines of unknown kinds and for unknown agents are ignored. Raises `Malformed`.
+        """
         if line.kind == "":
             return
         if line.kind == "census":
-            rows = [parse.entry(self.next_line()) for _ in range(line.whole("NodesList"))]
-            self.lists[line.needed("SetId")] = tuple(rows)
+            rows = [parse.entry(self.next_line()) for _ in range(line.integer("NodesList"))]
+            self.lists[line.required("SetId")] = tuple(rows)
         elif line.kind == "enlist":
-            agent = line.needed("Agent")
+            agent = line.required("Agent")
             settings, fields = parse.settings(line.text("BootInfo"))
             self.pending.pop(agent, None)
-            self.instances[agent] = Instance(Controller(line.whole("Nonce64"), settings), fields)
+            self.instances[agent] = Instance(Controller(line.integer("Nonce64"), settings), fields)
         elif line.kind == "detach":
-            self.pending.pop(line.needed("Agent"), None)
-            self.instances.pop(line.needed("Agent"), None)
+            self.pending.pop(line.required("Agent"), None)
+            self.instances.pop(line.required("Agent"), None)
         elif "Agent" in line.values:
-            agent = line.needed("Agent")
+            agent = line.required("Agent")
             instance = self.instances.get(agent)
             if instance is not None and (event := self.event(line, instance.fields)) is not None:
                 self.pending.setdefault(agent, []).append(event)
 
     def event(self, line: Line, fields: tuple[str, ...]) -> api.Event | None:
+        """Returns the event in a line, None if its kind is unknown. Raises `Malformed`."""
         if line.kind != "announce":
             return parse.event(line, fields)
-        form = words.FORMS.get(line.whole("Form"))
+        form = words.FORMS.get(line.integer("Form"))
         if form is None:
             return None
         if form == "failed":
             return api.Listed(form)
-        at = line.needed("SetId")
-        if at not in self.lists:
-            raise Malformed(f"SetId={at} was never given")
-        return api.Listed(form, self.lists[at])
+        set_id = line.required("SetId")
+        if set_id not in self.lists:
+            raise Malformed(f"no exchange list with SetId={set_id} was given")
+        return api.Listed(form, self.lists[set_id])
 
 
 def main() -> int:
+    """Runs the adapter on standard input and output.
+
+    Returns the exit code: 0 at the end of the input, 1 after an error of a controller, 2 for malformed input.
+    """
     host = Host(sys.stdin, sys.stdout)
     try:
         host.run()
-    except Malformed as fault:
-        print(f"wirehost: line {host.number}: {fault}", file=sys.stderr)
+    except Malformed as error:
+        print(f"wirehost: line {host.line_number}: {error}", file=sys.stderr)
         return 2
-    except Exception as fault:  # a fault of the module: the wire has a word for it
-        spot = fault.__traceback__
-        while spot is not None and spot.tb_next is not None:
-            spot = spot.tb_next
-        where = f" at line {spot.tb_lineno}" if spot else ""
+    except Exception as error:  # an error of a controller is reported to the simulator
+        frame = error.__traceback__
+        while frame is not None and frame.tb_next is not None:
+            frame = frame.tb_next
+        where = f" at line {frame.tb_lineno}" if frame else ""
         agents = [*host.pending, *host.instances, 0]
-        sys.stdout.write(f"die Agent={agents[0]} BodyText={type(fault).__name__}: {fault}{where}\nack\n")
+        sys.stdout.write(f"die Agent={agents[0]} BodyText={type(error).__name__}: {error}{where}\nack\n")
         sys.stdout.flush()
         return 1
     return 0
--- a/peattrestle/wirehost/parse.py
+++ b/peattrestle/wirehost/parse.py
@@ -1,4 +1,4 @@
-"""From the wire's lines to events in our words."""
+"""Parses the lines of the simulator's protocol into events and settings of the call router."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from peattrestle.wirehost import words
 from peattrestle.wirehost.words import US
 
-TEXT_FIELDS = ("BootInfo", "BodyText")  # these run to the end of their line
+TEXT_FIELDS = ("BootInfo", "BodyText")  # their values may contain spaces and extend to the end of the line
 
 
 class Malformed(Exception):
-    """The input breaks the wire's form; the text says how."""
+    """Input that the protocol does not allow; the message names the value at fault."""
 
 
 class Line:
-    """One message: its kind and its values."""
+    """One message of the protocol: its kind and its values by name. Raises `Malformed`."""
 
     __slots__ = ("kind", "values")
 
@@ -25,16 +25,17 @@
         self.kind, _, rest = text.partition(" ")
         self.values: dict[str, str] = {}
         while rest:
-            name, equals, after = rest.partition("=")
+            name, equals, remainder = rest.partition("=")
             if not equals or not name or " " in name:
                 raise Malformed(f"'{rest.split(' ')[0]}' is not name=value")
             if name in TEXT_FIELDS:
-                value, rest = after, ""
+                value, rest = remainder, ""
             else:
-                value, _, rest = after.partition(" ")
+                value, _, rest = remainder.partition(" ")
             self.values[name] = value
 
-    def whole(self, name: str, default: int = 0) -> int:
+    def integer(self, name: str, default: int = 0) -> int:
+        """Returns the value as an integer, or `default` if there is none. Raises `Malformed`."""
         value = self.values.get(name)
         if value is None:
             return default
@@ -43,16 +44,19 @@
         except ValueError:
             raise Malformed(f"{name}={value} is not a whole number") from None
 
-    def needed(self, name: str) -> int:
+    def required(self, name: str) -> int:
+        """Returns the value as an integer. Raises `Malformed` if it is missing or not an integer."""
         if name not in self.values:
             raise Malformed(f"{name} is missing")
-        return self.whole(name)
+        return self.integer(name)
 
     def text(self, name: str) -> str:
+        """Returns the value, or an empty text if there is none."""
         return self.values.get(name, "")
 
     def flag(self, name: str) -> bool:
-        return self.whole(name) != 0
+        """Returns whether the value is an integer other than 0; false if there is none."""
+        return self.integer(name) != 0
 
 
 def _setting(name: str, value: Any) -> Any:
@@ -62,89 +66,98 @@
 
 
 def settings(text: str) -> tuple[dict[str, Any], tuple[str, ...]]:
-    """The flat map of settings and the names of the values in a load report."""
+    """Returns the flat map of settings and the names of the values in a load report. Raises `Malformed`."""
     try:
         tree = json.loads(text)
-    except ValueError as fault:
-        raise Malformed(f"BootInfo is not JSON: {fault}") from None
+    except ValueError as error:
+        raise Malformed(f"BootInfo is not JSON: {error}") from None
     if not isinstance(tree, dict):
         raise Malformed("BootInfo is not a JSON object")
     return settings_of(tree)
 
 
 def settings_of(tree: dict[str, Any]) -> tuple[dict[str, Any], tuple[str, ...]]:
-    """The same from settings that are read already, as the platform's configuration has them."""
+    """As `settings`, for a JSON object that has already been parsed, as in the platform's configuration."""
 
-    def at(path: str) -> Any:
-        spot: Any = tree
+    def value_at(path: str) -> Any:
+        node: Any = tree
         for part in path.split("."):
-            spot = spot.get(part) if isinstance(spot, dict) else None
-        return spot
+            node = node.get(part) if isinstance(node, dict) else None
+        return node
 
     flat = {
-        ours: _setting(path, value)
-        for path, ours in words.SETTINGS.items()
-        if (value := at(path)) is not None
+        own_name: _setting(path, value)
+        for path, own_name in words.SETTINGS.items()
+        if (value := value_at(path)) is not None
     }
-    classes = at("Classes") or []
-    flat["bearer_types"] = tuple(one["Name"] for one in classes)
-    for place, one in enumerate(classes):
-        for theirs, ours in words.BEARER.items():
-            if theirs in one:
-                flat[f"{ours}:{one['Name']}"] = _setting(theirs, one[theirs])
-        for path, ours in words.BEARER_LISTS.items():
-            row = at(path) or []
-            if place < len(row):
-                value = row[place]
-                flat[f"{ours}:{one['Name']}"] = (
+    classes = value_at("Classes") or []
+    flat["bearer_types"] = tuple(bearer_type["Name"] for bearer_type in classes)
+    for index, bearer_type in enumerate(classes):
+        for protocol_name, own_name in words.BEARER.items():
+            if protocol_name in bearer_type:
+                flat[f"{own_name}:{bearer_type['Name']}"] = _setting(
+                    protocol_name, bearer_type[protocol_name]
+                )
+        for path, own_name in words.BEARER_LISTS.items():
+            row = value_at(path) or []
+            if index < len(row):
+                value = row[index]
+                flat[f"{own_name}:{bearer_type['Name']}"] = (
                     tuple(value) if isinstance(value, list) else _setting(path, value)
                 )
-    for one in at("Projects") or []:
-        for theirs, ours in words.CUSTOMER.items():
-            if theirs in one:
-                flat[f"{ours}:{one['Name']}"] = one[theirs]
-    return flat, tuple(words.LOAD.get(name, name) for name in at("Report.Fields") or ())
+    for customer in value_at("Projects") or []:
+        for protocol_name, own_name in words.CUSTOMER.items():
+            if protocol_name in customer:
+                flat[f"{own_name}:{customer['Name']}"] = customer[protocol_name]
+    return flat, tuple(words.LOAD.get(name, name) for name in value_at("Report.Fields") or ())
 
 
 def load(text: str, fields: tuple[str, ...]) -> dict[str, float]:
-    """Values below zero stand for 'not told' and are left out."""
+    """Parses a load report, a comma-separated row of values, into a map by the names in `fields`.
+
+    Negative values mean "not reported" and are left out. Raises `Malformed`.
+    """
     if not text:
         return {}
     try:
         row = [float(value) for value in text.split(",")]
     except ValueError:
-        raise Malformed(f"Pressure={text} is not a row of numbers") from None
+        raise Malformed(f"Pressure={text} is not a comma-separated row of numbers") from None
     return {name: value for name, value in zip(fields, row, strict=False) if value >= 0}
 
 
 def entry(line: Line) -> api.Entry:
+    """Parses a line of an exchange list. Raises `Malformed`."""
     return api.Entry(
         line.text("Exchange"),
-        line.whole("PointCode"),
-        words.STATES.get(line.whole("Availability"), "gone"),
-        line.whole("SinceUs") * US,
+        line.integer("PointCode"),
+        words.STATES.get(line.integer("Availability"), "gone"),
+        line.integer("SinceUs") * US,
         line.text("Area"),
     )
 
 
 def event(line: Line, fields: tuple[str, ...]) -> api.Event | None:
-    """None for a kind that is not known here."""
+    """Parses an event; None if its kind is unknown. Raises `Malformed`.
+
+    `fields`: the names of the values in a load report, in their order.
+    """
     if line.kind == "probe_done":
         return api.Reported(
             line.text("Exchange"),
             words.RESULTS.get(line.text("Result"), "error"),
-            line.whole("RttUs") * US,
+            line.integer("RttUs") * US,
             load(line.text("Pressure"), fields),
         )
     if line.kind == "call":
         return api.CallArrived(
-            line.needed("Id"),
+            line.required("Id"),
             line.text("Band"),
-            line.needed("ValidUntilUs") * US,
-            line.needed("CalledNode"),
+            line.required("ValidUntilUs") * US,
+            line.required("CalledNode"),
             line.text("Item"),
-            line.whole("Units", 1),
-            line.whole("Via", -1),
+            line.integer("Units", 1),
+            line.integer("Via", -1),
             line.flag("Transit"),
             line.flag("Reconnect"),
             line.flag("Repeat"),
@@ -152,28 +165,28 @@
         )
     if line.kind == "ack_first":
         return api.Stood(
-            line.needed("Id"), line.text("Exchange"), line.whole("RttUs") * US, line.whole("Leg")
+            line.required("Id"), line.text("Exchange"), line.integer("RttUs") * US, line.integer("Leg")
         )
     if line.kind == "verdict":
-        code = line.whole("ClearCode")
+        code = line.integer("ClearCode")
         cause, wait = words.CAUSES.get(code % 16, ""), 0
         if cause == "turned_back" and code >= 16:
             cause = "beyond_full"
         elif cause == "processor_full":
             wait = code // 16 * 1_000 * US
         return api.TryEnded(
-            line.needed("Id"),
+            line.required("Id"),
             line.text("Exchange"),
             words.RESULTS.get(line.text("Result"), "error"),
-            line.whole("RttUs") * US,
-            line.whole("Leg"),
+            line.integer("RttUs") * US,
+            line.integer("Leg"),
             line.flag("DoneFlag"),
             cause,
             wait,
             load(line.text("Pressure"), fields),
         )
     if line.kind == "client_left":
-        return api.CallerLeft(line.needed("Id"))
+        return api.CallerLeft(line.required("Id"))
     if line.kind == "timeout_fired":
         return api.TimerDue(line.text("Ctx"))
     return None
--- a/peattrestle/wirehost/words.py
+++ b/peattrestle/wirehost/words.py
@@ -1,10 +1,10 @@
-"""Wire names and ours. Names, words and units only."""
+"""Maps the names and values of the simulator's protocol to those of the call router."""
 
 from __future__ import annotations
 
-US = 1_000  # nanoseconds in the wire's microsecond
+US = 1_000  # nanoseconds per microsecond, the protocol's unit of time
 
-# Path in the wire's settings -> our name. A path that ends in Us holds microseconds.
+# Path in the protocol's settings -> name in the controller's settings. Paths that end in Us are microseconds.
 SETTINGS = {
     "NInstances": "agents",
     "Me": "me",
@@ -31,7 +31,7 @@
     "Rules.OverloadFactor": "fall_multiple",
     "Rules.StopSendingWithinUs": "drain_grace",
 }
-# Name in one of the wire's classes -> our name, which gets ':' and the bearer type behind it.
+# Name in a class of the protocol -> name in the controller's settings, followed by ':' and the bearer type.
 BEARER = {
     "AimUs": "gos_target",
     "HardLimitUs": "abandon_time",
@@ -41,13 +41,15 @@
     "Group": "effect_group",
     "WindowUs": "effect_window",
 }
-# Lists with one value for each class, in the order of the classes.
+# Path of a list with one value for each class, in the order of the classes -> name, as for BEARER.
 BEARER_LISTS = {
     "FamilyInfo.HoldingUs": "holding",
     "FamilyInfo.ClassWidth": "width",
     "FamilyInfo.AllowedPools": "pools",
 }
+# Name in a project -> name in the controller's settings, followed by ':' and the project.
 CUSTOMER = {"QuotaRps": "quota", "Fraction": "share"}
+# Values of settings.
 VALUES = {
     "pushed": "push",
     "on_request": "ask",
@@ -58,6 +60,7 @@
     "on_probe": "probe",
     "off": "none",
 }
+# Names of the values in a load report.
 LOAD = {
     "free": "free",
     "size": "size",
@@ -67,7 +70,7 @@
     "svc_ms": "wait_ms",
     "hold_back": "hold_back",
     "busy_reqs": "in_work",
-    # The same where the simulator's own words are used, as on the platform's sockets.
+    # The names that the simulator itself uses, as on the platform's sockets.
     "x0": "free",
     "x1": "size",
     "queue": "queue",
@@ -77,6 +80,7 @@
     "eps": "hold_back",
     "inflight": "in_work",
 }
+# Results of a try or a probe.
 RESULTS = {
     "served": "served",
     "server_error": "error",
@@ -87,6 +91,7 @@
     "called_off": "cancelled",
     "not_sent": "moot",
 }
+# Numbers of the states of an exchange, forms of a list, causes of a failed try.
 STATES = {1: "ready", 0: "draining", 3: "gone"}
 FORMS = {0: "delta", 4: "full", 1: "cached", 3: "failed"}
 CAUSES = {1: "no_circuit", 2: "turned_back", 3: "processor_full", 4: "lines_busy"}
