--- a/peattrestle/cli/__init__.py
+++ b/peattrestle/cli/__init__.py
@@ -1,5 +1,6 @@
-"""The command line: words in, exit code out.
+"""The command-line interface.
 
-Exit codes everywhere: 0 it held, 1 a rule was broken or a check failed, 2 the words or the configuration are
-wrong, 3 it could not run. Results go to standard output and nothing else does; logs go to standard error.
+Exit codes of all commands: 0 success, 1 a rule was broken or a check failed, 2 the arguments or the
+configuration are invalid, 3 the command could not run. Standard output has only results; logs and errors go
+to standard error.
 """
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -1,4 +1,4 @@
-"""One call from the command line, over a real connection."""
+"""Sets up one call from the command line, over a real connection."""
 
 from __future__ import annotations
 
@@ -11,15 +11,19 @@
 from peattrestle.runtime import Coroutine, Lost, Refused, TimedOut
 from peattrestle.runtime.epoll import EpollKernel
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # nanoseconds
 
 
-def ask(address: str, asked: package.SetUpAsked, hold: int) -> dict[str, Any]:
-    """The answer: 'stands', 'refused', 'failed', 'error', 'no answer' or 'no connection'."""
+def request_call(address: str, request: package.SetUpAsked, hold: int) -> dict[str, Any]:
+    """Requests a call from the agent at `address`, and releases an established one after `hold` nanoseconds.
+
+    Returns the fields of the result; `answer` is 'stands' (established), 'refused', 'failed', 'error',
+    'no answer' or 'no connection'.
+    """
     kernel = EpollKernel()
     answer: dict[str, Any] = {"answer": "no connection", "text": "", "come_back_ms": 0, "ms": 0}
 
-    def converse() -> Coroutine[None]:
+    def run_call() -> Coroutine[None]:
         stream = yield from kernel.connect(address, 2 * SECOND)
         session = Session(f"<cli{os.getpid()}>", Transactions(), stream.write)
         answer["answer"] = "no answer"
@@ -27,16 +31,16 @@
             "hello", lambda number: package.service_change_text(number, "Restart", "900 Service Restored")
         )
         started = kernel.now()
-        session.request("add", lambda number: package.add_text(number, asked))
+        session.request("add", lambda number: package.add_text(number, request))
         while data := (yield from stream.read()):
-            for heard in session.feed(kernel.now(), data):
-                if isinstance(heard, Garbled):
-                    answer["text"] = str(heard.fault)
-                elif isinstance(heard, Answered) and heard.kept == "add":
-                    outcome = package.read_outcome(heard.reply)
-                    word = {0: "stands", package.REFUSED: "refused", package.FAILED: "failed"}
+            for message in session.feed(kernel.now(), data):
+                if isinstance(message, Garbled):
+                    answer["text"] = str(message.fault)
+                elif isinstance(message, Answered) and message.kept == "add":
+                    outcome = package.read_outcome(message.reply)
+                    answer_texts = {0: "stands", package.REFUSED: "refused", package.FAILED: "failed"}
                     answer.update(
-                        answer=word.get(outcome.code, "error"),
+                        answer=answer_texts.get(outcome.code, "error"),
                         text=outcome.text,
                         come_back_ms=outcome.come_back // 1_000_000,
                         ms=round((kernel.now() - started) / 1e6, 1),
@@ -44,21 +48,21 @@
                     if outcome.code == 0:
                         yield from kernel.sleep(hold)
                         session.request(
-                            "end", lambda number: package.subtract_text(number, "*", asked.termination)
+                            "end", lambda number: package.subtract_text(number, "*", request.termination)
                         )
                         yield from stream.drain(1)
                     stream.close()
                     return
 
-    def bounded() -> Coroutine[None]:
+    def run_with_timeout() -> Coroutine[None]:
         try:
-            yield from kernel.within(asked.patience + hold + 3 * SECOND, converse())
-        except (Refused, Lost, BadPeer, TimedOut) as fault:
-            answer["text"] = answer["text"] or str(fault)
+            yield from kernel.within(request.patience + hold + 3 * SECOND, run_call())
+        except (Refused, Lost, BadPeer, TimedOut) as error:
+            answer["text"] = answer["text"] or str(error)
         finally:
             kernel.stop()
 
-    kernel.spawn(bounded(), "call")
+    kernel.spawn(run_with_timeout(), "call")
     kernel.run()
     kernel.close()
     return answer
--- a/peattrestle/cli/logs.py
+++ b/peattrestle/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, by structlog."""
+"""Structured logs through structlog: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 
 
 def logger(level: str, file: str, **bound: Any) -> Callable[..., None]:
-    """`log(level, text, **fields)`. Raises OSError where the file can't be opened. Appends; reopening is the
-    business of whoever rotates."""
+    """Returns a function `log(level, text, **fields)` that drops entries below `level`.
+
+    Appends to `file`, or writes to standard error if it is empty; `bound` are fields of every entry. Raises
+    OSError if the file can't be opened. The file is not reopened after a log rotation.
+    """
     sink: TextIO = open(file, "a", encoding="utf-8", buffering=1) if file else sys.stderr  # noqa: SIM115
     log = structlog.wrap_logger(
         structlog.PrintLogger(sink),
@@ -25,9 +28,9 @@
             structlog.processors.JSONRenderer(),
         ],
     ).bind(**bound)
-    names = {one: getattr(log, one) for one in LEVELS}
+    methods = {name: getattr(log, name) for name in LEVELS}
 
     def write(level: str, text: str, **fields: Any) -> None:
-        names[level](text, **fields)
+        methods[level](text, **fields)
 
     return write
--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -1,4 +1,4 @@
-"""`peattrestle`: agent run, config check, config show, rehearse, call."""
+"""The `peattrestle` command: agent run, config check, config show, rehearse, nights, night, plot, call."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
 from peattrestle.settings import schema
 from peattrestle.settings.hcl import Fault
 
-HELD, BROKEN, WRONG, COULD_NOT = 0, 1, 2, 3
+SUCCESS, CHECK_FAILED, INVALID_INPUT, CANNOT_RUN = 0, 1, 2, 3  # exit codes
 
 
 def fail(code: int, *lines: object) -> NoReturn:
+    """Prints error messages and exits with `code`."""
     for line in lines:
         click.echo(f"peattrestle: {line}", err=True)
     raise SystemExit(code)
 
 
-def faulty(faults: list[Fault]) -> NoReturn:
+def exit_with_faults(faults: list[Fault]) -> NoReturn:
+    """Prints the faults of a settings file and exits with `INVALID_INPUT`."""
     for fault in faults:
         click.echo(str(fault), err=True)
-    raise SystemExit(WRONG)
+    raise SystemExit(INVALID_INPUT)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -40,44 +42,46 @@
 
 @cli.group()
 def config() -> None:
-    """Settings files."""
+    """Checks and shows settings files."""
 
 
 @config.command("check")
 @click.argument("path", metavar="CONFIG")
 def config_check(path: str) -> None:
-    """Says all faults of an agent's settings at once, each with file and line."""
+    """Reports all faults of an agent's settings, each with file and line."""
     from peattrestle.settings.agent import load
 
     settings, faults = load(path)
     if settings is None:
-        faulty(faults)
+        exit_with_faults(faults)
     click.echo(f"{path}: agent {settings.label}, no fault")
 
 
 @config.command("show")
 @click.argument("path", metavar="CONFIG")
 def config_show(path: str) -> None:
-    """Every setting as it is in force, defaults too, as a file that could be used."""
+    """Prints all settings in force, defaults included, as a valid settings file."""
     from peattrestle.settings.agent import load
 
     settings, faults = load(path)
     if settings is None:
-        faulty(faults)
+        exit_with_faults(faults)
     click.echo(schema.to_hcl(settings, "agent"))
 
 
 @cli.group()
 def agent() -> None:
-    """The call agent."""
+    """Runs the call agent."""
 
 
 @agent.command("run")
 @click.argument("path", metavar="CONFIG")
-@click.option("--while-stdin", is_flag=True, help="End when standard input does: with whoever started this.")
+@click.option(
+    "--while-stdin", is_flag=True, help="Stop when standard input ends, as when the parent process does."
+)
 def agent_run(path: str, while_stdin: bool) -> None:
-    """Runs a call agent until SIGTERM or SIGINT, then until each call it holds is answered; a second signal
-    ends it at once. Never starts on a faulty file."""
+    """Runs a call agent until SIGTERM or SIGINT, and then until every call in progress is answered. A second
+    signal stops it at once. Does not start with an invalid settings file."""
     from peattrestle.agent.agent import CallAgent
     from peattrestle.agent.listing import FileStore, Store
     from peattrestle.cli.logs import logger
@@ -86,67 +90,69 @@
 
     settings, faults = load(path)
     if settings is None:
-        faulty(faults)
+        exit_with_faults(faults)
     seed = settings.seed or int.from_bytes(os.urandom(7), "big")
     try:
         log = logger(settings.log_level, settings.log_file, agent=settings.label)
-    except OSError as fault:
-        fail(COULD_NOT, f"log file {settings.log_file}: {fault.strerror}")
+    except OSError as error:
+        fail(CANNOT_RUN, f"log file {settings.log_file}: {error.strerror}")
     kernel = EpollKernel(seed ^ os.getpid() << 20)
     store = FileStore(settings.state) if settings.state else Store()
-    running = CallAgent(kernel, settings, log, store, seed)
-    problem: list[BaseException] = []
+    call_agent = CallAgent(kernel, settings, log, store, seed)
+    fatal_errors: list[BaseException] = []
 
-    def crashed(name: str, error: BaseException) -> None:
+    def on_crash(name: str, error: BaseException) -> None:
         log("error", "a coroutine raised", task=name, error=repr(error))
-        if name == f"agent {settings.label}":  # without its port the agent is of no use
-            problem.append(error)
+        if name == f"agent {settings.label}":  # without its listening port the agent can't work
+            fatal_errors.append(error)
             kernel.stop()
 
-    kernel.on_crash = crashed
+    kernel.on_crash = on_crash
 
-    def signalled(number: int) -> None:
-        if running.draining:
+    def on_signal(number: int) -> None:
+        if call_agent.draining:
             kernel.stop()
         else:
-            running.drain(kernel.stop)
+            call_agent.drain(kernel.stop)
 
-    kernel.on_signals((signal.SIGTERM, signal.SIGINT), signalled)
+    kernel.on_signals((signal.SIGTERM, signal.SIGINT), on_signal)
     if while_stdin:
         kernel.watch(0, lambda: kernel.stop() if not os.read(0, 4096) else None)
-    running.start()
+    call_agent.start()
     kernel.run()
-    running.stop()
-    log("info", "stopped", **running.counts.values)
+    call_agent.stop()
+    log("info", "stopped", **call_agent.counts.values)
     if settings.counts_file:
-        Path(settings.counts_file).write_text(json.dumps(running.counts.values), encoding="utf-8")
+        Path(settings.counts_file).write_text(json.dumps(call_agent.counts.values), encoding="utf-8")
     kernel.close()
-    if problem:
-        fail(COULD_NOT, f"{settings.callers}: {problem[0]}")
+    if fatal_errors:
+        fail(CANNOT_RUN, f"{settings.callers}: {fatal_errors[0]}")
 
 
 @cli.command()
 @click.argument("path", metavar="SCRIPT")
 @click.option(
-    "--kernel", type=click.Choice(["epoll", "virtual"]), help="Real sockets, or none; else the script says."
+    "--kernel",
+    type=click.Choice(["epoll", "virtual"]),
+    help="epoll: real sockets; virtual: simulated ones. Default: the script's.",
 )
-@click.option("--seed", type=click.IntRange(0), help="Another seed than the script's.")
+@click.option("--seed", type=click.IntRange(0), help="Overrides the script's seed.")
 @click.option(
-    "--report", type=click.Path(file_okay=False), help="Folder for the report and the record of traffic."
+    "--report", type=click.Path(file_okay=False), help="Folder for the report and the traffic record."
 )
-@click.option("--json", "as_json", is_flag=True, help="The result as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the result as JSON.")
 def rehearse(path: str, kernel: str | None, seed: int | None, report: str | None, as_json: bool) -> None:
-    """Plays SCRIPT against agents and stand-ins, and judges every rule from the traffic."""
+    """Runs SCRIPT with agents and simulated peers, and checks every rule against the recorded traffic."""
     from peattrestle.rehearsal import play, script
     from peattrestle.rehearsal import report as reports
 
-    read, faults = script.load(path)
-    if read is None:
-        faulty(faults)
+    loaded, faults = script.load(path)
+    if loaded is None:
+        exit_with_faults(faults)
     if seed is not None:
-        read = replace(read, seed=seed)
+        loaded = replace(loaded, seed=seed)
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         click.echo(f"peattrestle: {text}", err=True)
 
     def interrupted(*_: object) -> NoReturn:
@@ -155,45 +161,47 @@
     signal.signal(signal.SIGTERM, interrupted)
     try:
         with tempfile.TemporaryDirectory(prefix="peattrestle-") as folder:
-            result = play.play(read, kernel or read.kernel, Path(folder), say=say)
-    except play.CouldNotRun as fault:
-        fail(COULD_NOT, fault)
+            result = play.play(loaded, kernel or loaded.kernel, Path(folder), say=print_progress)
+    except play.CouldNotRun as error:
+        fail(CANNOT_RUN, error)
     except KeyboardInterrupt:
-        fail(COULD_NOT, "interrupted; what was started has been ended")
+        fail(CANNOT_RUN, "interrupted; all processes that were started have been stopped")
     if report:
         reports.write(result, Path(report))
     click.echo(json.dumps(reports.as_json(result)) if as_json else reports.table(result))
-    raise SystemExit(HELD if result.passed else BROKEN)
+    raise SystemExit(SUCCESS if result.passed else CHECK_FAILED)
 
 
 @cli.command()
 @click.option("--first", type=click.IntRange(0), default=1, help="First seed.")
-@click.option("--count", type=click.IntRange(1), default=200, help="How many nights.")
-@click.option("--jobs", type=click.IntRange(0), default=0, help="Processes; 0: one for each core.")
+@click.option("--count", type=click.IntRange(1), default=200, help="Number of nights.")
+@click.option("--jobs", type=click.IntRange(0), default=0, help="Number of processes; 0: one per core.")
 def nights(first: int, count: int, jobs: int) -> None:
-    """Plays drawn nights on the virtual kernel; a night that does not hold is named by its seed."""
+    """Runs random rehearsals (nights) on the virtual kernel, and prints the seeds of those that fail."""
     from peattrestle.rehearsal.nights import play_many
 
-    bad, calls, examined = 0, 0, dict[str, int]()
+    failures, calls, examined = 0, 0, dict[str, int]()
     for night in play_many(range(first, first + count), jobs):
         calls += night.calls
         for rule, number in night.examined.items():
             examined[rule] = examined.get(rule, 0) + number
         if not night.passed:
-            bad += 1
+            failures += 1
             click.echo(f"seed {night.seed}: " + "; ".join(night.faults))
-            click.echo(f"  again: peattrestle night {night.seed}")
+            click.echo(f"  to repeat: peattrestle night {night.seed}")
     for rule, number in examined.items():
         click.echo(f"{rule}: {number} examined" + ("" if number else ", NOT JUDGED"))
-    click.echo(f"{count} nights, {calls} calls, {bad} that did not hold")
-    raise SystemExit(BROKEN if bad or not all(examined.values()) else HELD)
+    click.echo(f"{count} nights, {calls} calls, {failures} failed")
+    raise SystemExit(CHECK_FAILED if failures or not all(examined.values()) else SUCCESS)
 
 
 @cli.command()
 @click.argument("seed", type=click.IntRange(0))
-@click.option("--report", type=click.Path(file_okay=False), help="Folder for the report and the traffic.")
+@click.option(
+    "--report", type=click.Path(file_okay=False), help="Folder for the report and the traffic record."
+)
 def night(seed: int, report: str | None) -> None:
-    """Plays one drawn night again, and reports it in full."""
+    """Repeats the night drawn from SEED, and prints its full report."""
     from peattrestle.rehearsal import nights as drawn
     from peattrestle.rehearsal import play
     from peattrestle.rehearsal import report as reports
@@ -202,52 +210,54 @@
     if report:
         reports.write(result, Path(report))
     click.echo(reports.table(result))
-    raise SystemExit(HELD if result.passed else BROKEN)
+    raise SystemExit(SUCCESS if result.passed else CHECK_FAILED)
 
 
 @cli.command()
 @click.argument("reports", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--out", required=True, type=click.Path(dir_okay=False, path_type=Path), help="A picture.")
+@click.option(
+    "--out", required=True, type=click.Path(dir_okay=False, path_type=Path), help="Image file to write."
+)
 def plot(reports: tuple[Path, ...], out: Path) -> None:
-    """Draws load and service over time from REPORTS, folders of `rehearse --report`, beside each other."""
+    """Plots load and service over time, side by side, from REPORTS: folders of `rehearse --report`."""
     from peattrestle.rehearsal import plot as plots
 
     try:
-        read = [(one.name or str(one), plots.read(one)) for one in reports]
-        plots.draw(read, out)
-    except plots.NotAReport as fault:
-        fail(WRONG, fault)
+        runs = [(folder.name or str(folder), plots.read(folder)) for folder in reports]
+        plots.draw(runs, out)
+    except plots.NotAReport as error:
+        fail(INVALID_INPUT, error)
     except ImportError:
-        fail(COULD_NOT, "plots need matplotlib: pip install -r requirements-plot.txt")
-    except (OSError, ValueError) as fault:
-        fail(COULD_NOT, f"{out}: {fault}")
+        fail(CANNOT_RUN, "plots need matplotlib: pip install -r requirements-plot.txt")
+    except (OSError, ValueError) as error:
+        fail(CANNOT_RUN, f"{out}: {error}")
 
 
 @cli.command()
 @click.argument("address", metavar="ADDRESS")
 @click.argument("destination", type=click.IntRange(0), metavar="EXCHANGE")
 @click.argument("bearer", metavar="BEARER")
-@click.option("--number", default="", help="Number called.")
-@click.option("--patience", default="5s", help="Give up after this.")
-@click.option("--hold", default="0s", help="Let the call stand this long before it is released.")
-@click.option("--json", "as_json", is_flag=True, help="The answer as JSON.")
+@click.option("--number", default="", help="Called number.")
+@click.option("--patience", default="5s", help="Give up after this time.")
+@click.option("--hold", default="0s", help="Release the call this long after it is established.")
+@click.option("--json", "as_json", is_flag=True, help="Print the answer as JSON.")
 def call(
     address: str, destination: int, bearer: str, number: str, patience: str, hold: str, as_json: bool
 ) -> None:
-    """Asks the agent at ADDRESS for one call to EXCHANGE, and says what the answer was."""
-    from peattrestle.cli.caller import ask
+    """Requests one call to EXCHANGE from the agent at ADDRESS, and prints the answer."""
+    from peattrestle.cli.caller import request_call
     from peattrestle.h248.package import SetUpAsked
     from peattrestle.runtime.epoll import split
 
     try:
         split(address)
-        length, standing = schema.parse_duration(patience), schema.parse_duration(hold)
-    except ValueError as fault:
-        fail(WRONG, fault)
-    asked = SetUpAsked(
-        f"cli/{os.getpid()}", bearer, destination, length, number, reference=f"cli/{os.getpid()}"
+        patience_ns, hold_ns = schema.parse_duration(patience), schema.parse_duration(hold)
+    except ValueError as error:
+        fail(INVALID_INPUT, error)
+    request = SetUpAsked(
+        f"cli/{os.getpid()}", bearer, destination, patience_ns, number, reference=f"cli/{os.getpid()}"
     )
-    answer = ask(address, asked, standing)
+    answer = request_call(address, request, hold_ns)
     if as_json:
         click.echo(json.dumps(answer))
     else:
@@ -256,14 +266,17 @@
             + (f": {answer['text']}" if answer["text"] else "")
             + (f", come back in {answer['come_back_ms']} ms" if answer["come_back_ms"] else "")
         )
-    raise SystemExit({"stands": HELD, "no connection": COULD_NOT}.get(str(answer["answer"]), BROKEN))
+    raise SystemExit(
+        {"stands": SUCCESS, "no connection": CANNOT_RUN}.get(str(answer["answer"]), CHECK_FAILED)
+    )
 
 
 def main() -> None:
+    """Runs the command line, with the package's exit codes for errors in the arguments."""
     try:
         cli(standalone_mode=False)
-    except click.ClickException as fault:
-        fault.show(sys.stderr)
-        raise SystemExit(WRONG) from None
+    except click.ClickException as error:
+        error.show(sys.stderr)
+        raise SystemExit(INVALID_INPUT) from None
     except click.Abort:
-        raise SystemExit(COULD_NOT) from None
+        raise SystemExit(CANNOT_RUN) from None
