--- a/peattrestle/runtime/__init__.py
+++ b/peattrestle/runtime/__init__.py
@@ -1,4 +1,5 @@
-"""Generators as coroutines on two kernels: `EpollKernel` (real sockets) and `VirtualKernel` (a seed)."""
+"""Event loops ("kernels") for generator-based coroutines: `EpollKernel` uses real sockets, `VirtualKernel`
+simulates time and network from a seed."""
 
 from peattrestle.runtime.kernel import (
     Cancelled,
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -1,4 +1,4 @@
-"""The kernel over `select.epoll` and real sockets; addresses are "127.a.b.c:port", nothing else."""
+"""The event loop over `select.epoll` and real sockets; only loopback addresses, "127.a.b.c:port"."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 from peattrestle.runtime.kernel import MS, SECOND, Coroutine, Kernel, Listener, Lost, Refused, Stream, Waiter
 
-READ, WRITE = select.EPOLLIN | select.EPOLLRDHUP, select.EPOLLOUT
-GONE = select.EPOLLHUP | select.EPOLLERR
+READABLE, WRITABLE = select.EPOLLIN | select.EPOLLRDHUP, select.EPOLLOUT
+HUNG_UP = select.EPOLLHUP | select.EPOLLERR
 
 
 def split(address: str) -> tuple[str, int]:
-    """Host and port of a loopback address. Raises ValueError."""
+    """Splits a loopback address into host and port. Raises ValueError."""
     host, colon, port = address.rpartition(":")
     if not colon or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"'{address}' is not HOST:PORT")
@@ -29,8 +29,8 @@
     return host, int(port)
 
 
-class _Plain:
-    """A descriptor that is somebody else's to close."""
+class _BorrowedDescriptor:
+    """A file descriptor that belongs to other code and is not closed here."""
 
     def __init__(self, fd: int) -> None:
         self.fd = fd
@@ -43,14 +43,15 @@
 
 
 class Handle:
-    """One descriptor in the epoll set, with what it is interested in."""
+    """A descriptor in the epoll set, with its event mask and the callback for its events."""
 
-    __slots__ = ("kernel", "sock", "fd", "mask", "wake")
+    __slots__ = ("kernel", "sock", "fd", "mask", "on_event")
 
-    def __init__(self, kernel: EpollKernel, sock: Any, wake: Callable[[int], None]) -> None:
-        self.kernel, self.sock, self.fd, self.mask, self.wake = kernel, sock, sock.fileno(), 0, wake
+    def __init__(self, kernel: EpollKernel, sock: Any, on_event: Callable[[int], None]) -> None:
+        self.kernel, self.sock, self.fd, self.mask, self.on_event = kernel, sock, sock.fileno(), 0, on_event
 
-    def want(self, mask: int) -> None:
+    def set_mask(self, mask: int) -> None:
+        """Sets the events to be notified of; 0 removes the descriptor from the epoll set."""
         if self.fd < 0 or mask == self.mask or self.kernel.epoll.closed:
             return
         if self.mask == 0:
@@ -65,59 +66,61 @@
 
     def close(self) -> None:
         if self.fd >= 0:
-            self.want(0)
+            self.set_mask(0)
             self.fd = -1
             self.sock.close()
 
 
 class EpollStream(Stream):
+    """A connected TCP socket."""
+
     def __init__(self, kernel: EpollKernel, sock: socket.socket, peer: str) -> None:
         self.kernel, self.peer = kernel, peer
-        self.handle = Handle(kernel, sock, self._wake)
+        self.handle = Handle(kernel, sock, self._on_event)
         self.unsent = 0
         self._out: list[bytes] = []
         self._reader: Waiter | None = None
         self._drainers: list[tuple[int, Waiter]] = []
-        self._lost: str = ""
+        self._lost_reason: str = ""
         self._finishing = False
 
-    def _wake(self, mask: int) -> None:
-        if mask & (READ | GONE) and self._reader is not None:
+    def _on_event(self, mask: int) -> None:
+        if mask & (READABLE | HUNG_UP) and self._reader is not None:
             reader, self._reader = self._reader, None
             reader.set()
-        if mask & (WRITE | GONE):
+        if mask & (WRITABLE | HUNG_UP):
             self._flush()
-        if mask & GONE and self._reader is None and not self._out:
-            # Nobody reads and nothing is to be written: level-triggered, it would wake us for ever.
-            self.handle.want(0)
+        if mask & HUNG_UP and self._reader is None and not self._out:
+            # Nobody waits for this socket: level-triggered epoll would report the hang-up in every turn.
+            self.handle.set_mask(0)
         else:
-            self._interest()
+            self._update_mask()
 
-    def _interest(self) -> None:
-        self.handle.want((READ if self._reader is not None else 0) | (WRITE if self._out else 0))
+    def _update_mask(self) -> None:
+        self.handle.set_mask((READABLE if self._reader is not None else 0) | (WRITABLE if self._out else 0))
 
-    def read(self, most: int = 65536) -> Coroutine[bytes]:
+    def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         while True:
             if self.handle.fd < 0:
-                raise Lost(self._lost or "closed here")
+                raise Lost(self._lost_reason or "closed locally")
             try:
-                data: bytes = self.handle.sock.recv(most)
+                data: bytes = self.handle.sock.recv(max_bytes)
                 return data
             except BlockingIOError:
                 pass
-            except OSError as fault:
-                self._lose(fault)
-                raise Lost(self._lost) from None
+            except OSError as error:
+                self._handle_socket_error(error)
+                raise Lost(self._lost_reason) from None
             if self._reader is not None:
                 raise RuntimeError("two coroutines read one stream")
             waiter = self._reader = Waiter(self.kernel)
-            self._interest()
+            self._update_mask()
             try:
                 yield waiter
             finally:
                 if self._reader is waiter:
                     self._reader = None
-                    self._interest()
+                    self._update_mask()
 
     def write(self, data: bytes) -> None:
         if self.handle.fd < 0 or self._finishing or not data:
@@ -125,7 +128,7 @@
         self._out.append(data)
         self.unsent += len(data)
         if len(self._out) == 1:
-            self.kernel.at_turn_end(self._flush)  # what one turn writes goes out in one call
+            self.kernel.at_turn_end(self._flush)  # sends all writes of one turn in one system call
 
     def _flush(self) -> None:
         while self._out and self.handle.fd >= 0:
@@ -135,43 +138,43 @@
             except BlockingIOError:
                 self._out = [data]
                 break
-            except OSError as fault:
-                self._lose(fault)
+            except OSError as error:
+                self._handle_socket_error(error)
                 return
             self.unsent -= sent
             self._out = [data[sent:]] if sent < len(data) else []
         if not self._out and self._finishing and self.handle.fd >= 0:
             with contextlib.suppress(OSError):
                 self.handle.sock.shutdown(socket.SHUT_WR)
-        still = []
+        remaining = []
         for below, waiter in self._drainers:
             if self.unsent < below:
                 waiter.set()
             else:
-                still.append((below, waiter))
-        self._drainers = still
-        self._interest()
+                remaining.append((below, waiter))
+        self._drainers = remaining
+        self._update_mask()
 
     def drain(self, below: int = 65536) -> Coroutine[None]:
         if self.unsent >= below:
             waiter = Waiter(self.kernel)
             self._drainers.append((below, waiter))
             yield waiter
-        if self._lost:
-            raise Lost(self._lost)
+        if self._lost_reason:
+            raise Lost(self._lost_reason)
 
     def finish(self) -> None:
         self._finishing = True
         self.kernel.at_turn_end(self._flush)
 
-    def _lose(self, fault: OSError) -> None:
-        self._lost = self._lost or errno.errorcode.get(fault.errno or 0, "lost")
+    def _handle_socket_error(self, error: OSError) -> None:
+        self._lost_reason = self._lost_reason or errno.errorcode.get(error.errno or 0, "lost")
         self._shut()
 
     def _shut(self) -> None:
         self.handle.close()
         self._out, self.unsent = [], 0
-        error = Lost(self._lost or "closed here")
+        error = Lost(self._lost_reason or "closed locally")
         if self._reader is not None:
             self._reader.fail(error)
             self._reader = None
@@ -189,87 +192,92 @@
         if self.handle.fd >= 0:
             with contextlib.suppress(OSError):
                 self.handle.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            self._lost = self._lost or "aborted here"
+            self._lost_reason = self._lost_reason or "aborted locally"
             self._shut()
 
 
 class EpollListener(Listener):
-    """When descriptors run out, a spare one is given up for a moment: the waiting connection is taken and
-    closed, so that its peer learns at once, and accepting goes on a little later."""
+    """A listening TCP socket.
+
+    When the process has no file descriptors left, a spare one is released for a moment to accept and close
+    the waiting connection, so that its peer notices at once. Accepting goes on after `PAUSE`.
+    """
 
-    PAUSE = 50 * MS
+    PAUSE = 50 * MS  # nanoseconds
 
     def __init__(self, kernel: EpollKernel, sock: socket.socket) -> None:
         self.kernel = kernel
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
-        self.handle = Handle(kernel, sock, self._wake)
+        self.handle = Handle(kernel, sock, self._on_event)
         self.shed = 0
         self._waiter: Waiter | None = None
-        self._spare = os.open(os.devnull, os.O_RDONLY)
+        self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
 
-    def _wake(self, mask: int) -> None:
+    def _on_event(self, mask: int) -> None:
         if self._waiter is not None:
             waiter, self._waiter = self._waiter, None
             waiter.set()
-        self.handle.want(0)
+        self.handle.set_mask(0)
 
     def accept(self) -> Coroutine[Stream]:
         while True:
             if self.handle.fd < 0:
-                raise Lost("closed here")
+                raise Lost("closed locally")
             try:
                 sock, (host, port) = self.handle.sock.accept()
             except BlockingIOError:
                 waiter = self._waiter = Waiter(self.kernel)
-                self.handle.want(select.EPOLLIN)
+                self.handle.set_mask(select.EPOLLIN)
                 try:
                     yield waiter
                 finally:
                     self._waiter = None
-                    self.handle.want(0)
-            except OSError as fault:
-                if fault.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
+                    self.handle.set_mask(0)
+            except OSError as error:
+                if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
                     self._shed_one()
                     yield from self.kernel.sleep(self.PAUSE)
-                elif fault.errno not in (errno.ECONNABORTED, errno.EPROTO, errno.EINTR):
-                    raise Lost(str(fault)) from None
+                elif error.errno not in (errno.ECONNABORTED, errno.EPROTO, errno.EINTR):
+                    raise Lost(str(error)) from None
             else:
                 return self.kernel.adopt(sock, f"{host}:{port}")
 
     def close_and_take(self) -> list[Stream]:
-        taken: list[Stream] = []
+        accepted: list[Stream] = []
         while self.handle.fd >= 0:
             try:
                 sock, (host, port) = self.handle.sock.accept()
             except OSError:
                 break
-            taken.append(self.kernel.adopt(sock, f"{host}:{port}"))
+            accepted.append(self.kernel.adopt(sock, f"{host}:{port}"))
         self.close()
-        return taken
+        return accepted
 
     def _shed_one(self) -> None:
-        if self._spare >= 0:
-            os.close(self._spare)
-            self._spare = -1
+        if self._spare_descriptor >= 0:
+            os.close(self._spare_descriptor)
+            self._spare_descriptor = -1
         with contextlib.suppress(OSError):
             self.handle.sock.accept()[0].close()
             self.shed += 1
         with contextlib.suppress(OSError):
-            self._spare = os.open(os.devnull, os.O_RDONLY)
+            self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
 
     def close(self) -> None:
         if self._waiter is not None:
-            self._waiter.fail(Lost("closed here"))
+            self._waiter.fail(Lost("closed locally"))
             self._waiter = None
         self.handle.close()
-        if self._spare >= 0:
-            os.close(self._spare)
-            self._spare = -1
+        if self._spare_descriptor >= 0:
+            os.close(self._spare_descriptor)
+            self._spare_descriptor = -1
 
 
 class EpollKernel(Kernel):
-    LONGEST = 1 * SECOND  # no wait in epoll is longer, so that signals and stops are seen
+    """The event loop over real sockets and the monotonic clock."""
+
+    MAX_POLL_NS = 1 * SECOND  # longest wait in epoll, so that signals and stops are noticed
 
     def __init__(self, seed: int = 0) -> None:
         super().__init__(seed)
@@ -283,19 +291,20 @@
         return time.time_ns()
 
     def adopt(self, sock: socket.socket, peer: str) -> EpollStream:
+        """Returns a stream over a connected socket, and takes ownership of the socket."""
         sock.setblocking(False)
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return EpollStream(self, sock, peer)
 
     def listen(self, address: str, backlog: int = 512) -> EpollListener:
-        """Raises OSError when the port is taken, ValueError when the address is none."""
-        where = split(address)
+        """Opens a port. Raises OSError if it is in use, ValueError if the address is invalid."""
+        host_port = split(address)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            sock.bind(where)
+            sock.bind(host_port)
             sock.listen(backlog)
         except OSError:
             sock.close()
@@ -303,30 +312,30 @@
         return EpollListener(self, sock)
 
     def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
-        where = split(address)
+        host_port = split(address)
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as fault:
-            raise Refused(f"{address}: {fault}") from None
+        except OSError as error:
+            raise Refused(f"{address}: {error}") from None
         sock.setblocking(False)
-        problem = sock.connect_ex(where)
-        if problem == errno.EINPROGRESS:
+        error_code = sock.connect_ex(host_port)
+        if error_code == errno.EINPROGRESS:
             waiter = Waiter(self)
             handle = Handle(self, sock, waiter.set)
             timer = self.at(self.now() + within, lambda: waiter.fail(Refused(f"{address}: no answer")))
             try:
-                handle.want(WRITE)
+                handle.set_mask(WRITABLE)
                 yield waiter
-                problem = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+                error_code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             except BaseException:
                 handle.close()
                 raise
             finally:
                 timer.cancel()
-            handle.want(0)
-        if problem:
+            handle.set_mask(0)
+        if error_code:
             sock.close()
-            raise Refused(f"{address}: {errno.errorcode.get(problem, problem)}")
+            raise Refused(f"{address}: {errno.errorcode.get(error_code, error_code)}")
         return self.adopt(sock, address)
 
     def run(self, until: int | None = None) -> None:
@@ -335,41 +344,41 @@
             now = self.now()
             if self.stopped or until is not None and now >= until:
                 return
-            at = self.next_due()
-            if at is None and not self.handles and not self.ready:
+            next_at = self.next_timer_at()
+            if next_at is None and not self.handles and not self.ready:
                 return
-            wait = self.LONGEST if at is None else min(self.LONGEST, max(0, at - now))
+            wait = self.MAX_POLL_NS if next_at is None else min(self.MAX_POLL_NS, max(0, next_at - now))
             if until is not None:
                 wait = min(wait, max(0, until - now))
-            # Rounded up to the epoll's millisecond where it waits at all: waking early would spin.
+            # Rounded up to whole milliseconds, epoll's resolution: waking early would spin.
             for fd, mask in self.epoll.poll(-(-wait // MS) / 1000, 256):
                 handle = self.handles.get(fd)
                 if handle is not None:
-                    handle.wake(mask)
-            self.due(self.now())
+                    handle.on_event(mask)
+            self.fire_timers(self.now())
 
     def watch(self, fd: int, action: Callable[[], None]) -> None:
-        """Calls `action` each time `fd` has something to read, its end among it."""
-        watched = Handle(self, _Plain(fd), lambda mask: action())
-        watched.want(select.EPOLLIN)
+        """Calls `action` each time `fd` is readable, which includes its end of file."""
+        handle = Handle(self, _BorrowedDescriptor(fd), lambda mask: action())
+        handle.set_mask(select.EPOLLIN)
 
     def on_signals(self, numbers: tuple[int, ...], action: Callable[[int], None]) -> None:
-        """Calls `action` in the loop, not in the middle of something, when one of the signals has come."""
-        here, there = socket.socketpair()
-        here.setblocking(False)
-        there.setblocking(False)
-        self._signal_ends = (here, there)
-        signal.set_wakeup_fd(there.fileno(), warn_on_full_buffer=False)
+        """Calls `action` from the event loop, not from a signal handler, when one of the signals arrives."""
+        receiver, sender = socket.socketpair()
+        receiver.setblocking(False)
+        sender.setblocking(False)
+        self._signal_sockets = (receiver, sender)
+        signal.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
         for number in numbers:
             signal.signal(number, lambda *_: None)
 
-        def came() -> None:
+        def on_readable() -> None:
             with contextlib.suppress(BlockingIOError):
-                for number in here.recv(64):
+                for number in receiver.recv(64):
                     if number in numbers:
                         action(number)
 
-        self.watch(here.fileno(), came)
+        self.watch(receiver.fileno(), on_readable)
 
     def close(self) -> None:
         super().close()
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -1,8 +1,8 @@
-"""What both kernels share: tasks, timers, waits, queues, cancellation.
+"""What both event loops ("kernels") share: tasks, timers, waiters, queues and cancellation.
 
-A coroutine is a generator that yields one kind of thing, a `Waiter`, and is resumed with its value or its
-error. All that can be waited for (readable, writable, a time, a queue, a child) is a waiter that somebody
-else sets. Times are whole nanoseconds of the kernel's clock.
+A coroutine is a generator that yields `Waiter` objects and is resumed with the waiter's value or error.
+Everything that can be waited for (a readable or writable socket, a time, a queue, a child task) is a waiter
+that is completed by other code. Times are integer nanoseconds of the kernel's clock.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from typing import Any, Generic, TypeVar
 
 T = TypeVar("T")
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 SECOND = 1_000_000_000
 
 
 class Cancelled(BaseException):
-    """Thrown into a coroutine at its yield; not an `Exception`, so that no broad handler swallows it."""
+    """Thrown into a cancelled coroutine; not an `Exception`, so that no broad handler catches it."""
 
 
 class Lost(Exception):
@@ -31,11 +31,11 @@
 
 
 class TimedOut(Exception):
-    """What was waited for did not come in time."""
+    """The time limit passed before a coroutine returned."""
 
 
 class Waiter:
-    """A wait that ends once: with a value or an error. Setting it a second time does nothing."""
+    """A one-shot result, a value or an error, that a task waits for. Completing it again does nothing."""
 
     __slots__ = ("kernel", "task", "done", "value", "error")
 
@@ -47,12 +47,14 @@
         self.error: BaseException | None = None
 
     def set(self, value: Any = None) -> None:
+        """Completes the wait with a value, and makes the waiting task ready."""
         if not self.done:
             self.done, self.value = True, value
             if self.task is not None:
                 self.kernel.ready.append(self.task)
 
     def fail(self, error: BaseException) -> None:
+        """Completes the wait with an error, which is raised in the waiting task."""
         if not self.done:
             self.done, self.error = True, error
             if self.task is not None:
@@ -63,7 +65,11 @@
 
 
 class Task(Generic[T]):
-    """A coroutine under way. `watch` names its fate when it raises: kept, or handed to the kernel."""
+    """A running coroutine.
+
+    `watch`: if it raises and nobody has joined it, the error is reported to the kernel; otherwise it is only
+    kept in `error`.
+    """
 
     __slots__ = (
         "kernel",
@@ -73,8 +79,8 @@
         "done",
         "result",
         "error",
-        "ended",
-        "cancelling",
+        "join_waiters",
+        "cancel_pending",
         "watch",
     )
 
@@ -84,44 +90,48 @@
         self.done = False
         self.result: T | None = None
         self.error: BaseException | None = None
-        self.ended: list[Waiter] = []
-        self.cancelling = False
+        self.join_waiters: list[Waiter] = []
+        self.cancel_pending = False
 
     def cancel(self) -> None:
-        """Throws `Cancelled` at the yield where it waits, at the kernel's next turn; once is enough."""
-        if not self.done and not self.cancelling:
-            self.cancelling = True
+        """Throws `Cancelled` at the coroutine's current yield in the kernel's next turn.
+
+        A second call before that has no effect.
+        """
+        if not self.done and not self.cancel_pending:
+            self.cancel_pending = True
             self.kernel.ready.append(self)
 
     def join(self) -> Coroutine[T | None]:
-        """Waits for its end. Raises what it raised; None if it was cancelled."""
+        """Waits until the task has ended. Returns its result, None if it was cancelled; raises its error."""
         if not self.done:
             waiter = Waiter(self.kernel)
-            self.ended.append(waiter)
+            self.join_waiters.append(waiter)
             yield waiter
         if self.error is not None and not isinstance(self.error, Cancelled):
             raise self.error
         return self.result
 
     def step(self) -> None:
+        """Runs the coroutine up to its next yield, if what it waits for is complete."""
         if self.done:
             return
         waiter = self.waiter
         try:
-            if self.cancelling and not (waiter is not None and isinstance(waiter.error, Cancelled)):
-                # The wait is left behind: whoever sets it later wakes nobody.
-                self.cancelling = False
+            if self.cancel_pending and not (waiter is not None and isinstance(waiter.error, Cancelled)):
+                # The wait is abandoned: completing the waiter later must not wake the task.
+                self.cancel_pending = False
                 if waiter is not None:
                     waiter.task, waiter.done = None, True
-                following = self.body.throw(Cancelled())
+                next_waiter = self.body.throw(Cancelled())
             elif waiter is None:
-                following = next(self.body)
+                next_waiter = next(self.body)
             elif not waiter.done:
-                return  # a second entry in the ready line for a wake-up already taken
+                return  # a duplicate entry in the ready queue: this wake-up has been handled
             elif waiter.error is not None:
-                following = self.body.throw(waiter.error)
+                next_waiter = self.body.throw(waiter.error)
             else:
-                following = self.body.send(waiter.value)
+                next_waiter = self.body.send(waiter.value)
         except StopIteration as stop:
             self._end(stop.value, None)
         except Cancelled as error:
@@ -129,23 +139,23 @@
         except Exception as error:
             self._end(None, error)
         else:
-            self.waiter = following
-            if following.done:
+            self.waiter = next_waiter
+            if next_waiter.done:
                 self.kernel.ready.append(self)
             else:
-                following.task = self
+                next_waiter.task = self
 
     def _end(self, result: T | None, error: BaseException | None) -> None:
         self.done, self.result, self.error, self.waiter = True, result, error, None
         self.kernel.tasks.pop(self, None)
-        for waiter in self.ended:
+        for waiter in self.join_waiters:
             waiter.set()
-        if error is not None and not isinstance(error, Cancelled) and self.watch and not self.ended:
-            self.kernel.crashed(self, error)
+        if error is not None and not isinstance(error, Cancelled) and self.watch and not self.join_waiters:
+            self.kernel.report_crash(self, error)
 
 
 class Timer:
-    """A call due at a time; `cancel` makes it do nothing."""
+    """A callback scheduled for a time."""
 
     __slots__ = ("at", "action", "kernel")
 
@@ -154,40 +164,42 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
+        """Prevents the callback from being called."""
         if self.action is not None:
             self.action = None
-            self.kernel.timer_cancelled()
+            self.kernel.on_timer_cancelled()
 
 
 class Event:
-    """Set once; all who wait go on. Waiting on a set one does not wait."""
+    """A flag that tasks wait for. `set` wakes all of them; waiting for a set event returns at once."""
 
     def __init__(self, kernel: Kernel) -> None:
         self.kernel = kernel
         self.is_set = False
-        self._waiting: list[Waiter] = []
+        self._waiters: list[Waiter] = []
 
     def set(self) -> None:
         self.is_set = True
-        waiting, self._waiting = self._waiting, []
-        for waiter in waiting:
+        waiters, self._waiters = self._waiters, []
+        for waiter in waiters:
             waiter.set()
 
     def wait(self) -> Coroutine[None]:
         if not self.is_set:
             waiter = Waiter(self.kernel)
-            self._waiting.append(waiter)
+            self._waiters.append(waiter)
             yield waiter
 
 
 class Queue(Generic[T]):
-    """Bounded. `offer` says whether there was room; `put` waits for it. Nothing taken out is ever lost.
+    """A bounded FIFO queue of at most `max_items` items. No item is lost when a getter is cancelled.
 
-    A getter is only woken and looks again, so one that is cancelled between wake-up and turn takes nothing.
+    A getter is only woken and then checks the queue again, so one that is cancelled after its wake-up takes
+    no item.
     """
 
-    def __init__(self, kernel: Kernel, most: int) -> None:
-        self.kernel, self.most = kernel, most
+    def __init__(self, kernel: Kernel, max_items: int) -> None:
+        self.kernel, self.max_items = kernel, max_items
         self.items: deque[T] = deque()
         self._getters: deque[Waiter] = deque()
         self._putters: deque[Waiter] = deque()
@@ -196,31 +208,34 @@
         return len(self.items)
 
     @staticmethod
-    def _wake(line: deque[Waiter]) -> None:
-        while line:
-            waiter = line.popleft()
+    def _wake_next(waiters: deque[Waiter]) -> None:
+        while waiters:
+            waiter = waiters.popleft()
             if not waiter.done:
                 waiter.set()
                 return
 
     def offer(self, item: T) -> bool:
-        if len(self.items) >= self.most:
+        """Adds an item without waiting. Returns false if the queue is full."""
+        if len(self.items) >= self.max_items:
             return False
         self.items.append(item)
-        self._wake(self._getters)
+        self._wake_next(self._getters)
         return True
 
     def put(self, item: T) -> Coroutine[None]:
+        """Adds an item, and waits while the queue is full."""
         while not self.offer(item):
             waiter = Waiter(self.kernel)
             self._putters.append(waiter)
             try:
                 yield waiter
             except Cancelled:
-                self._wake(self._putters)  # the room it was woken for goes to the next
+                self._wake_next(self._putters)  # the free place it was woken for goes to the next putter
                 raise
 
     def get(self) -> Coroutine[T]:
+        """Removes and returns the oldest item, and waits while the queue is empty."""
         while not self.items:
             waiter = Waiter(self.kernel)
             self._getters.append(waiter)
@@ -228,25 +243,31 @@
                 yield waiter
             except Cancelled:
                 if self.items:
-                    self._wake(self._getters)
+                    self._wake_next(self._getters)
                 raise
         item = self.items.popleft()
-        self._wake(self._putters)
+        self._wake_next(self._putters)
         return item
 
 
 class Stream:
-    """A connection: bytes both ways. One reader at a time; writes never wait, `drain` does."""
+    """A bidirectional byte stream. One reader at a time; `write` never waits, `drain` does."""
 
     peer: str = ""
-    unsent: int = 0  # bytes written here and not yet taken by the peer's side
+    unsent: int = 0  # bytes written here and not yet accepted by the socket or the peer's window
+
+    def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
+        """Returns at least one byte and at most `max_bytes`, b'' once the peer has closed its side.
 
-    def read(self, most: int = 65536) -> Coroutine[bytes]:
-        """Some bytes, b'' once the peer has closed its side. Raises `Lost`."""
+        Raises `Lost`.
+        """
         raise NotImplementedError
 
     def write(self, data: bytes) -> None:
-        """Takes all bytes at once; after a loss they are thrown away. Watch `unsent`, or use `drain`."""
+        """Buffers all bytes; after the connection is lost they are discarded.
+
+        The buffer is not bounded: check `unsent` or wait with `drain`.
+        """
         raise NotImplementedError
 
     def drain(self, below: int = 65536) -> Coroutine[None]:
@@ -254,28 +275,30 @@
         raise NotImplementedError
 
     def finish(self) -> None:
-        """Closes this side after what is unsent; the peer may still write."""
+        """Closes this side for writing once all unsent bytes are sent; the peer may still write."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Gives the connection up; what is unsent is still offered to the peer where that needs no wait."""
+        """Closes the connection; unsent bytes are sent only as far as that needs no wait."""
         raise NotImplementedError
 
     def abort(self) -> None:
-        """Resets the connection: the peer sees `Lost`."""
+        """Resets the connection: the peer's `read` raises `Lost`."""
         raise NotImplementedError
 
 
 class Listener:
-    """A port that takes connections."""
+    """A listening port."""
 
     address: str = ""
-    shed: int = 0  # connections closed at once because descriptors had run out
+    shed: int = 0  # connections closed at once because the process had no file descriptors left
 
     def accept(self) -> Coroutine[Stream]:
+        """Waits for the next connection. Raises `Lost` once the port is closed."""
         raise NotImplementedError
 
     def close(self) -> None:
+        """Closes the port and the connections that wait to be accepted."""
         raise NotImplementedError
 
     def close_and_take(self) -> list[Stream]:
@@ -284,70 +307,80 @@
 
 
 class Kernel:
-    """Runs tasks and timers. Clock, chance and connections come from here and from nowhere else.
+    """An event loop. Clock, random numbers and connections come only from here, for reproducible tests.
 
-    In each turn: all tasks that are ready, then what was asked for by `at_turn_end`, then time or sockets.
+    Each turn runs all ready tasks, then the `at_turn_end` callbacks, and then handles timers and sockets.
     """
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
         self.ready: deque[Task[Any]] = deque()
-        self.tasks: dict[Task[Any], None] = {}  # in order: a set's would differ from run to run
+        self.tasks: dict[Task[Any], None] = {}  # ordered, unlike a set, so that runs are reproducible
         self.stopped = False
         self.crashes: list[tuple[str, BaseException]] = []
         self.on_crash: Callable[[str, BaseException], None] | None = None
         self._heap: list[tuple[int, int, Timer]] = []
-        self._order = 0
-        self._dead_timers = 0
-        self._turn_end: list[Callable[[], None]] = []
+        self._timer_sequence = 0
+        self._cancelled_timers = 0
+        self._turn_end_actions: list[Callable[[], None]] = []
 
-    # Clock and chance.
+    # Clock and random numbers.
 
     def now(self) -> int:
+        """Nanoseconds of a monotonic clock."""
         raise NotImplementedError
 
     def wall(self) -> int:
-        """Nanoseconds since 1970 where the kernel knows them; it may be set, so nothing is timed by it."""
+        """Wall-clock time in nanoseconds since 1970, if known. It may jump, so nothing is timed by it."""
         return self.now()
 
     def chance(self, name: str) -> random.Random:
-        """A generator of its own for each purpose, so that one more draw here changes nothing there."""
+        """Returns a random generator for the purpose `name`.
+
+        Each purpose has its own sequence, so an additional draw for one changes none of the others.
+        """
         return random.Random(f"{self.seed}/{name}")
 
     # Tasks and timers.
 
     def spawn(self, body: Coroutine[T], name: str, watch: bool = True) -> Task[T]:
-        """Starts a coroutine at the next turn. If it raises and nobody joins it, `crashed` is told."""
+        """Starts a coroutine in the next turn.
+
+        If it raises, nobody has joined it and `watch` is true, the error is passed to `on_crash`.
+        """
         task = Task(self, body, name, watch)
         self.tasks[task] = None
         self.ready.append(task)
         return task
 
-    def crashed(self, task: Task[Any], error: BaseException) -> None:
+    def report_crash(self, task: Task[Any], error: BaseException) -> None:
+        """Records an error that ended a task (the last 100 are kept) and calls `on_crash`."""
         self.crashes.append((task.name, error))
         del self.crashes[:-100]
         if self.on_crash is not None:
             self.on_crash(task.name, error)
 
     def at(self, at: int, action: Callable[[], None]) -> Timer:
-        """Calls `action` at the first turn at or after `at`; in the order of `at`, then of asking."""
+        """Calls `action` in the first turn at or after `at`; equal times in the order of scheduling."""
         timer = Timer(self, at, action)
-        self._order += 1
-        heapq.heappush(self._heap, (at, self._order, timer))
+        self._timer_sequence += 1
+        heapq.heappush(self._heap, (at, self._timer_sequence, timer))
         return timer
 
-    def timer_cancelled(self) -> None:
-        self._dead_timers += 1
-        if self._dead_timers > 1000 and self._dead_timers * 2 > len(self._heap):
-            self._heap = [row for row in self._heap if row[2].action is not None]
+    def on_timer_cancelled(self) -> None:
+        """Rebuilds the heap when most of its timers, and more than 1000, are cancelled."""
+        self._cancelled_timers += 1
+        if self._cancelled_timers > 1000 and self._cancelled_timers * 2 > len(self._heap):
+            self._heap = [entry for entry in self._heap if entry[2].action is not None]
             heapq.heapify(self._heap)
-            self._dead_timers = 0
+            self._cancelled_timers = 0
 
     def at_turn_end(self, action: Callable[[], None]) -> None:
-        """Calls `action` once when all that is ready now has run, before the kernel looks at time again."""
-        self._turn_end.append(action)
+        """Calls `action` once, after all ready tasks have run and before timers are checked again."""
+        self._turn_end_actions.append(action)
 
     def sleep(self, length: int) -> Coroutine[None]:
+        """Waits for `length` nanoseconds."""
         waiter = Waiter(self)
         timer = self.at(self.now() + length, waiter.set)
         try:
@@ -356,7 +389,10 @@
             timer.cancel()
 
     def within(self, length: int, body: Coroutine[T], name: str = "within") -> Coroutine[T]:
-        """The coroutine's result, or `TimedOut` after `length`; then it has been cancelled and has ended."""
+        """Runs a coroutine for at most `length` nanoseconds and returns its result.
+
+        Raises `TimedOut` once the time has passed and the cancelled coroutine has ended.
+        """
         task = self.spawn(body, name, watch=False)
         timer = self.at(self.now() + length, task.cancel)
         try:
@@ -373,43 +409,46 @@
     # The loop.
 
     def run_ready(self) -> None:
-        while self.ready or self._turn_end:
+        """Runs ready tasks and turn-end callbacks until there are none left."""
+        while self.ready or self._turn_end_actions:
             while self.ready:
                 self.ready.popleft().step()
-            ending, self._turn_end = self._turn_end, []
-            for action in ending:
+            actions, self._turn_end_actions = self._turn_end_actions, []
+            for action in actions:
                 action()
 
-    def due(self, now: int) -> None:
-        """Fires what is due; actions that are due because of those fire in the next turn."""
-        heap, firing = self._heap, []
+    def fire_timers(self, now: int) -> None:
+        """Calls the callbacks that are due. Timers that these set for now are fired in the next turn."""
+        heap, due = self._heap, []
         while heap and heap[0][0] <= now:
-            firing.append(heapq.heappop(heap)[2])
-        for timer in firing:
+            due.append(heapq.heappop(heap)[2])
+        for timer in due:
             if timer.action is None:
-                self._dead_timers -= 1
+                self._cancelled_timers -= 1
             else:
                 action, timer.action = timer.action, None
                 action()
 
-    def next_due(self) -> int | None:
+    def next_timer_at(self) -> int | None:
+        """The time of the earliest timer, None if there is none."""
         while self._heap and self._heap[0][2].action is None:
             heapq.heappop(self._heap)
-            self._dead_timers -= 1
+            self._cancelled_timers -= 1
         return self._heap[0][0] if self._heap else None
 
     def stop(self) -> None:
+        """Makes `run` return."""
         self.stopped = True
 
     def run(self, until: int | None = None) -> None:
-        """Runs until `stop`, until the time `until`, or until nothing can happen any more."""
+        """Runs until `stop` is called, until the time `until`, or until nothing is left to wait for."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Cancels all tasks and lets them end."""
+        """Cancels all tasks and runs them until they end."""
         for task in list(self.tasks):
             task.cancel()
-        for _ in range(10 * len(self.tasks) + 1000):  # one that will not end is left behind
+        for _ in range(10 * len(self.tasks) + 1000):  # bounded, so that a task that does not end is left
             if not self.ready:
                 break
             self.ready.popleft().step()
@@ -417,8 +456,9 @@
     # Connections.
 
     def listen(self, address: str, backlog: int = 512) -> Listener:
+        """Opens a port. Raises OSError if it is in use."""
         raise NotImplementedError
 
     def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
-        """Raises `Refused`, also when `within` has passed."""
+        """Connects from `source` to `address`. Raises `Refused`, also after `within` nanoseconds."""
         raise NotImplementedError
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -1,7 +1,8 @@
-"""The kernel without clock and sockets: time jumps to the next event, streams are pipes with drawn delays.
+"""The event loop without clock and sockets: time jumps to the next timer, streams have random delays.
 
-A run is a function of its seed. Each connection draws its delay, and each piece of bytes how it is cut up;
-pieces of one direction never overtake one another. `Network` breaks connections as a script or a seed says.
+A run is determined by its seed. The delay of each connection and the splitting of each write into segments
+are random; segments of one direction are delivered in order. `Network` sets these properties and cuts
+connections.
 """
 
 from __future__ import annotations
@@ -16,36 +17,39 @@
 
 @dataclass(slots=True)
 class Network:
-    """What connections are like, and what is broken now.
+    """The properties of simulated connections, and which of them are cut now.
 
-    `delay_least`, `delay_most`: one way, nanoseconds. `cut_up`: chance that a piece arrives in several.
-    `window`: bytes a peer may have unread before the writer's bytes stay with the writer.
-    `cut(source, address)`: whether nothing passes between these two now; bytes wait until it heals.
+    `min_delay`, `max_delay`: one-way delay in nanoseconds. `cut_up`: probability that a segment is split in
+    two. `window`: bytes that a peer may have unread before further ones stay with the writer.
+    `cut(source, address)`: whether the two are cut off from each other now; bytes wait until they are not.
+    `cut_check_interval`: nanoseconds between checks whether a cut has ended.
     """
 
-    delay_least: int = MS // 5
-    delay_most: int = 2 * MS
+    min_delay: int = MS // 5
+    max_delay: int = 2 * MS
     cut_up: float = 0.1
     window: int = 262144
     cut: Callable[[str, str], bool] = lambda source, address: False
-    cut_poll: int = 20 * MS
+    cut_check_interval: int = 20 * MS
 
 
 class VirtualStream(Stream):
+    """One side of a simulated connection; `other` is the other side."""
+
     def __init__(self, kernel: VirtualKernel, source: str, peer: str) -> None:
         self.kernel, self.source, self.peer = kernel, source, peer
         self.other: VirtualStream = self
-        self.delay = kernel.draw.randint(kernel.network.delay_least, kernel.network.delay_most)
+        self.delay = kernel.rng.randint(kernel.network.min_delay, kernel.network.max_delay)
         self.unsent = 0
-        self._out: deque[memoryview] = deque()  # not yet under way: the peer's window is full
-        self._under_way = 0
-        self._arrived: deque[bytes] = deque()
+        self._out: deque[memoryview] = deque()  # not yet sent: the peer's window is full
+        self._in_flight = 0
+        self._received: deque[bytes] = deque()
         self._unread = 0
-        self._ended = False  # the peer's side is closed and all of it has arrived
+        self._at_end = False  # the peer has closed its side, and all its bytes have been received
         self._reader: Waiter | None = None
         self._drainers: list[tuple[int, Waiter]] = []
         self._finished = self._closed = False
-        self._lost = ""
+        self._lost_reason = ""
         self._last_arrival = 0
 
     # Writing side.
@@ -55,55 +59,55 @@
             return
         self._out.append(memoryview(data))
         self.unsent += len(data)
-        self._push()
+        self._transmit()
 
-    def _push(self) -> None:
+    def _transmit(self) -> None:
         network = self.kernel.network
         while self._out:
-            room = network.window - self.other._unread - self._under_way
-            if room < min(len(self._out[0]), network.window // 2):
-                break  # no tiny pieces: a window opens by half or not at all
+            free = network.window - self.other._unread - self._in_flight
+            if free < min(len(self._out[0]), network.window // 2):
+                break  # avoids tiny segments: the window opens by half or not at all
             data = self._out.popleft()
-            if len(data) > room:
-                self._out.appendleft(data[room:])
-                data = data[:room]
+            if len(data) > free:
+                self._out.appendleft(data[free:])
+                data = data[:free]
             self.unsent -= len(data)
-            pieces = [bytes(data)]
-            if len(data) > 1 and self.kernel.draw.random() < network.cut_up:
-                at = self.kernel.draw.randint(1, len(data) - 1)
-                pieces = [bytes(data[:at]), bytes(data[at:])]
-            for piece in pieces:
-                self._under_way += len(piece)
-                self._later(partial(self._deliver, piece))
+            segments = [bytes(data)]
+            if len(data) > 1 and self.kernel.rng.random() < network.cut_up:
+                split_at = self.kernel.rng.randint(1, len(data) - 1)
+                segments = [bytes(data[:split_at]), bytes(data[split_at:])]
+            for segment in segments:
+                self._in_flight += len(segment)
+                self._schedule(partial(self._deliver, segment))
         for below, waiter in self._drainers:
             if self.unsent < below:
                 waiter.set()
-        self._drainers = [row for row in self._drainers if not row[1].done]
+        self._drainers = [drainer for drainer in self._drainers if not drainer[1].done]
 
-    def _later(self, action: Callable[[], None]) -> None:
-        at = max(self.kernel.now() + self.delay, self._last_arrival)
-        self._last_arrival = at + 1
+    def _schedule(self, action: Callable[[], None]) -> None:
+        arrival = max(self.kernel.now() + self.delay, self._last_arrival)
+        self._last_arrival = arrival + 1
 
         def arrive() -> None:
-            if self._lost or self._closed and self.other._closed:
+            if self._lost_reason or self._closed and self.other._closed:
                 return
             if self.kernel.network.cut(self.source, self.peer):
-                self._last_arrival = self.kernel.now() + self.kernel.network.cut_poll
+                self._last_arrival = self.kernel.now() + self.kernel.network.cut_check_interval
                 self.kernel.at(self._last_arrival, arrive)
             else:
                 action()
 
-        self.kernel.at(at, arrive)
+        self.kernel.at(arrival, arrive)
 
-    def _deliver(self, piece: bytes) -> None:
+    def _deliver(self, segment: bytes) -> None:
         other = self.other
-        self._under_way -= len(piece)
+        self._in_flight -= len(segment)
         if other._closed:
-            # Bytes for a socket that is gone come back as a reset.
+            # As with TCP, bytes sent to a closed socket are answered with a reset.
             self.kernel.at(self.kernel.now() + self.delay, lambda: self._reset("peer closed"))
             return
-        other._arrived.append(piece)
-        other._unread += len(piece)
+        other._received.append(segment)
+        other._unread += len(segment)
         other._wake()
 
     def drain(self, below: int = 65536) -> Coroutine[None]:
@@ -111,19 +115,19 @@
             waiter = Waiter(self.kernel)
             self._drainers.append((below, waiter))
             yield waiter
-        if self._lost:
-            raise Lost(self._lost)
+        if self._lost_reason:
+            raise Lost(self._lost_reason)
 
     def finish(self) -> None:
         if not self._finished and not self._closed:
             self._finished = True
-            self._later(self._end_of_stream)
+            self._schedule(self._end_of_stream)
 
     def _end_of_stream(self) -> None:
-        if self._out or self._under_way:
-            self._later(self._end_of_stream)
+        if self._out or self._in_flight:
+            self._schedule(self._end_of_stream)
             return
-        self.other._ended = True
+        self.other._at_end = True
         self.other._wake()
 
     # Reading side.
@@ -133,19 +137,19 @@
             reader, self._reader = self._reader, None
             reader.set()
 
-    def read(self, most: int = 65536) -> Coroutine[bytes]:
+    def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         while True:
             if self._closed:
-                raise Lost(self._lost or "closed here")
-            if self._arrived:
-                data = self._arrived.popleft()
-                if len(data) > most:
-                    self._arrived.appendleft(data[most:])
-                    data = data[:most]
+                raise Lost(self._lost_reason or "closed locally")
+            if self._received:
+                data = self._received.popleft()
+                if len(data) > max_bytes:
+                    self._received.appendleft(data[max_bytes:])
+                    data = data[:max_bytes]
                 self._unread -= len(data)
-                self.other._push()
+                self.other._transmit()
                 return data
-            if self._ended:
+            if self._at_end:
                 return b""
             if self._reader is not None:
                 raise RuntimeError("two coroutines read one stream")
@@ -156,15 +160,15 @@
                 if self._reader is waiter:
                     self._reader = None
 
-    # Ends.
+    # Closing.
 
-    def _shut(self, why: str) -> None:
+    def _shut(self, reason: str) -> None:
         if self._closed:
             return
-        self._closed, self._lost = True, why
+        self._closed, self._lost_reason = True, reason
         self._out.clear()
         self.unsent = 0
-        error = Lost(why)
+        error = Lost(reason)
         if self._reader is not None:
             self._reader.fail(error)
             self._reader = None
@@ -172,51 +176,54 @@
             waiter.fail(error)
         self._drainers = []
 
-    def _reset(self, why: str) -> None:
-        self._shut(why)
+    def _reset(self, reason: str) -> None:
+        self._shut(reason)
 
     def close(self) -> None:
         if not self._closed:
             while self._out:
-                piece = bytes(self._out.popleft())
-                self._under_way += len(piece)
-                self._later(partial(self._deliver, piece))
+                segment = bytes(self._out.popleft())
+                self._in_flight += len(segment)
+                self._schedule(partial(self._deliver, segment))
             self.finish()
             self._shut("")
-            self._lost = ""
+            self._lost_reason = ""
 
     def abort(self) -> None:
         if not self._closed:
             other = self.other
             self.kernel.at(self.kernel.now() + self.delay, lambda: other._reset("reset by peer"))
-            self._shut("aborted here")
+            self._shut("aborted locally")
 
 
 class VirtualListener(Listener):
+    """A simulated listening port. `adopt` is called with each accepted stream."""
+
     def __init__(self, kernel: VirtualKernel, address: str, backlog: int) -> None:
         self.kernel, self.address, self.backlog = kernel, address, backlog
-        self.line: deque[VirtualStream] = deque()
+        self.pending: deque[VirtualStream] = deque()
         self.adopt: Callable[[VirtualStream], None] = lambda stream: None
         self._waiter: Waiter | None = None
         self.shed = 0
         self._closed = False
 
-    def take(self, stream: VirtualStream) -> None:
-        self.line.append(stream)
+    def enqueue(self, stream: VirtualStream) -> None:
+        """Adds a connection that waits to be accepted."""
+        self.pending.append(stream)
         if self._waiter is not None:
             waiter, self._waiter = self._waiter, None
             waiter.set()
 
     def accept(self) -> Coroutine[Stream]:
-        while not self.line:
+        while not self.pending:
             if self._closed:
-                raise Lost("closed here")
+                raise Lost("closed locally")
             waiter = self._waiter = Waiter(self.kernel)
             try:
                 yield waiter
             finally:
                 self._waiter = None
-        stream = self.line.popleft()
+        stream = self.pending.popleft()
         self.adopt(stream)
         return stream
 
@@ -225,27 +232,29 @@
         if self.kernel.listeners.get(self.address) is self:
             del self.kernel.listeners[self.address]
         if self._waiter is not None:
-            self._waiter.fail(Lost("closed here"))
+            self._waiter.fail(Lost("closed locally"))
             self._waiter = None
-        for stream in self.line:
+        for stream in self.pending:
             stream.abort()
 
     def close_and_take(self) -> list[Stream]:
-        taken: list[Stream] = list(self.line)
-        for stream in self.line:
+        accepted: list[Stream] = list(self.pending)
+        for stream in self.pending:
             self.adopt(stream)
-        self.line.clear()
+        self.pending.clear()
         self.close()
-        return taken
+        return accepted
 
 
 class VirtualKernel(Kernel):
+    """The event loop with simulated time and network; `steps` counts its turns."""
+
     def __init__(self, seed: int, network: Network | None = None) -> None:
         super().__init__(seed)
         self.network = network or Network()
-        self.draw = self.chance("network")
+        self.rng = self.chance("network")
         self.listeners: dict[str, VirtualListener] = {}
-        self._now = 1_000_000 * MS  # not 0, so that a missing time is not taken for the start
+        self._now = 1_000_000 * MS  # not 0, so that an unset time of 0 is not mistaken for the start
         self._port = 40000
         self.steps = 0
 
@@ -258,7 +267,7 @@
             self._port += 1
             address = f"{host}:{self._port}"
         if address in self.listeners:
-            raise OSError(98, f"{address} is taken")
+            raise OSError(98, f"{address} is in use")
         listener = self.listeners[address] = VirtualListener(self, address, backlog)
         return listener
 
@@ -270,32 +279,32 @@
             yield from self.sleep(max(0, within - 2 * here.delay))
             raise Refused(f"{address}: no answer")
         listener = self.listeners.get(address)
-        if listener is None or len(listener.line) >= listener.backlog:
+        if listener is None or len(listener.pending) >= listener.backlog:
             raise Refused(f"{address}: ECONNREFUSED")
         there = VirtualStream(self, address, source or f"127.0.0.1:{self._port}")
         there.delay = here.delay
         here.other, there.other = there, here
-        listener.take(there)
+        listener.enqueue(there)
         return here
 
     def run(self, until: int | None = None) -> None:
         while not self.stopped:
             self.run_ready()
-            at = self.next_due()
-            if at is None or until is not None and at > until:
+            next_at = self.next_timer_at()
+            if next_at is None or until is not None and next_at > until:
                 if until is not None:
                     self._now = max(self._now, until)
                 return
-            self._now = max(self._now, at)
+            self._now = max(self._now, next_at)
             self.steps += 1
-            self.due(self._now)
+            self.fire_timers(self._now)
 
 
 class VirtualProcess(Kernel):
-    """A process on a virtual kernel: the same time and network, and an end that it does not see coming.
+    """A simulated process on a virtual kernel, with the kernel's time and network, that can be killed.
 
-    After `kill` nothing of it runs any more: tasks stop where they are, timers never fire, connections are
-    reset, ports are free.
+    After `kill` nothing of it runs: its tasks stop where they are, its timers never fire, its connections are
+    reset and its ports are free.
     """
 
     def __init__(self, parent: VirtualKernel, seed: int) -> None:
@@ -310,18 +319,18 @@
         return self.parent.now()
 
     def at(self, at: int, action: Callable[[], None]) -> Timer:
-        def fire() -> None:
+        def fire_if_alive() -> None:
             if self.alive:
                 action()
 
-        return self.parent.at(at, fire)
+        return self.parent.at(at, fire_if_alive)
 
     def at_turn_end(self, action: Callable[[], None]) -> None:
-        def act() -> None:
+        def act_if_alive() -> None:
             if self.alive:
                 action()
 
-        self.parent.at_turn_end(act)
+        self.parent.at_turn_end(act_if_alive)
 
     def listen(self, address: str, backlog: int = 512) -> VirtualListener:
         listener = self.parent.listen(address, backlog)
@@ -332,11 +341,12 @@
     def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
         stream = yield from self.parent.connect(address, within, source)
         assert isinstance(stream, VirtualStream)
-        self._streams = [one for one in self._streams if not one._closed]
+        self._streams = [open_stream for open_stream in self._streams if not open_stream._closed]
         self._streams.append(stream)
         return stream
 
     def kill(self) -> None:
+        """Ends the process without warning."""
         self.alive = False
         for listener in self._listeners:
             listener.close()
@@ -344,5 +354,5 @@
             stream.abort()
         for task in list(self.tasks):
             task.done = True
-            task.body.close()  # its last words reach neither a stream nor a timer
+            task.body.close()  # its cleanup code can use neither streams nor timers any more
         self.tasks.clear()
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -1,4 +1,4 @@
-"""One contract for both kernels: every case runs on real sockets and on the virtual kernel."""
+"""The contract of both kernels: the common tests run on real sockets and on the virtual kernel."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 from peattrestle.runtime.epoll import EpollKernel, split
 from peattrestle.runtime.virtual import Network, VirtualKernel, VirtualProcess
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 
 
 @pytest.fixture(params=["epoll", "virtual"])
 def kernel(request: pytest.FixtureRequest) -> Iterator[Kernel]:
-    made: Kernel = EpollKernel(3) if request.param == "epoll" else VirtualKernel(3, Network(window=4096))
-    yield made
-    made.close()
+    instance: Kernel = EpollKernel(3) if request.param == "epoll" else VirtualKernel(3, Network(window=4096))
+    yield instance
+    instance.close()
 
 
 def run(kernel: Kernel, body: Coroutine[Any]) -> Any:
-    """Its result; what it raises is raised. A run that does not end in 20 s of the kernel's time fails."""
+    """Runs a coroutine and returns its result or raises its error; fails after 20 s of the kernel's time."""
     task = kernel.spawn(body, "test", watch=False)
 
     def end() -> Coroutine[None]:
@@ -47,13 +47,14 @@
 
     kernel.spawn(end(), "end")
     kernel.run(kernel.now() + 20_000 * MS)
-    assert task.done, "it hangs"
+    assert task.done, "the coroutine did not end within 20 s"
     if task.error is not None:
         raise task.error
     return task.result
 
 
-def pair(kernel: Kernel) -> Coroutine[tuple[Stream, Stream, Listener]]:
+def connected_pair(kernel: Kernel) -> Coroutine[tuple[Stream, Stream, Listener]]:
+    """Both sides of a new connection, and the listener that accepted it."""
     listener = kernel.listen("127.0.0.1:0")
     accepting = kernel.spawn(listener.accept(), "accept")
     here = yield from kernel.connect(listener.address, 1000 * MS)
@@ -69,7 +70,7 @@
     return b"".join(out)
 
 
-def test_wake_order_and_timers_due_at_once(kernel: Kernel) -> None:
+def test_wake_order_and_timers_due_at_the_same_time(kernel: Kernel) -> None:
     seen: list[str] = []
 
     def body() -> Coroutine[None]:
@@ -109,7 +110,7 @@
     seen: list[str] = []
 
     def waits() -> Coroutine[None]:
-        here, there, listener = yield from pair(kernel)
+        here, there, listener = yield from connected_pair(kernel)
         queue: Queue[int] = Queue(kernel, 1)
         sleeper = kernel.spawn(kernel.sleep(5000 * MS), "sleeper")
         here.write(b"x" * 12_000_000)
@@ -167,17 +168,17 @@
     assert run(kernel, body()) == [1, 2, 4]
 
 
-def test_a_child_that_raises_has_a_fate(kernel: Kernel) -> None:
-    def bad() -> Coroutine[None]:
+def test_an_error_of_a_child_reaches_its_joiner_or_the_kernel(kernel: Kernel) -> None:
+    def raise_after_sleep() -> Coroutine[None]:
         yield from kernel.sleep(MS)
         raise KeyError("x")
 
     def body() -> Coroutine[None]:
-        kernel.spawn(bad(), "alone")
+        kernel.spawn(raise_after_sleep(), "alone")
         with pytest.raises(KeyError):
-            yield from kernel.spawn(bad(), "joined").join()
+            yield from kernel.spawn(raise_after_sleep(), "joined").join()
         with pytest.raises(KeyError):
-            yield from kernel.within(50 * MS, bad())
+            yield from kernel.within(50 * MS, raise_after_sleep())
         with pytest.raises(TimedOut):
             yield from kernel.within(5 * MS, kernel.sleep(5000 * MS))
 
@@ -185,26 +186,26 @@
     assert [name for name, _ in kernel.crashes] == ["alone"]
 
 
-def test_bytes_arrive_whole_and_in_order_through_a_shut_window(kernel: Kernel) -> None:
+def test_bytes_arrive_complete_and_in_order_through_a_full_window(kernel: Kernel) -> None:
     sent = os.urandom(100_000) * (120 if isinstance(kernel, EpollKernel) else 10)
 
     def body() -> Coroutine[bytes]:
-        here, there, _ = yield from pair(kernel)
-        for at in range(0, len(sent), 50_000):
-            here.write(sent[at : at + 50_000])
+        here, there, _ = yield from connected_pair(kernel)
+        for offset in range(0, len(sent), 50_000):
+            here.write(sent[offset : offset + 50_000])
         yield from kernel.sleep(50 * MS)
-        assert here.unsent > 0  # a peer that does not read leaves them with the writer
+        assert here.unsent > 0  # bytes that the peer does not read stay with the writer
         here.finish()
-        got = yield from read_all(there)
+        received = yield from read_all(there)
         yield from here.drain(1)
-        return got
+        return received
 
     assert run(kernel, body()) == sent
 
 
-def test_a_half_closed_peer_is_still_written_to(kernel: Kernel) -> None:
+def test_a_half_closed_connection_still_carries_the_answer(kernel: Kernel) -> None:
     def body() -> Coroutine[tuple[bytes, bytes]]:
-        here, there, _ = yield from pair(kernel)
+        here, there, _ = yield from connected_pair(kernel)
         here.write(b"question")
         here.finish()
         question = yield from read_all(there)
@@ -216,9 +217,9 @@
 
 
 @pytest.mark.parametrize("how", ["abort", "close here", "write after the peer is gone"])
-def test_a_connection_that_ends_while_someone_reads(kernel: Kernel, how: str) -> None:
+def test_a_connection_that_ends_during_a_read(kernel: Kernel, how: str) -> None:
     def body() -> Coroutine[None]:
-        here, there, _ = yield from pair(kernel)
+        here, there, _ = yield from connected_pair(kernel)
         reader = kernel.spawn(here.read(), "reader", watch=False)
         yield from kernel.sleep(10 * MS)
         if how == "abort":
@@ -232,7 +233,7 @@
             here.write(b"b")
         yield from kernel.sleep(50 * MS)
         if how == "write after the peer is gone":
-            assert reader.result == b""  # its end first, then the reset
+            assert reader.result == b""  # the end of the stream first, then the reset
             with pytest.raises(Lost):
                 yield from here.read()
                 yield from here.read()
@@ -246,7 +247,7 @@
 
 
 @pytest.mark.parametrize("who", ["nobody", "gone"])
-def test_connecting_to_nobody(kernel: Kernel, who: str) -> None:
+def test_connecting_to_a_closed_port(kernel: Kernel, who: str) -> None:
     def body() -> Coroutine[None]:
         listener = kernel.listen("127.0.0.1:0")
         address = listener.address
@@ -259,39 +260,39 @@
     run(kernel, body())
 
 
-def test_a_port_is_taken_once(kernel: Kernel) -> None:
+def test_a_port_is_opened_only_once(kernel: Kernel) -> None:
     listener = kernel.listen("127.0.0.1:0")
     with pytest.raises(OSError):
         kernel.listen(listener.address)
 
 
-# Each kernel's own.
+# Tests of one kernel.
 
 
 @pytest.mark.parametrize("address", ["10.0.0.1:1", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:70000", "::1:5"])
-def test_only_loopback(address: str) -> None:
+def test_only_loopback_addresses_are_accepted(address: str) -> None:
     with pytest.raises(ValueError):
         split(address)
 
 
-def test_accept_goes_on_after_descriptors_ran_out() -> None:
+def test_accept_continues_after_file_descriptors_ran_out() -> None:
     kernel = EpollKernel()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
 
     def body() -> Coroutine[tuple[int, bytes]]:
         listener = kernel.listen("127.0.0.1:0")
-        taken: list[Stream] = []
+        accepted: list[Stream] = []
 
         def serve() -> Coroutine[None]:
             while True:
-                taken.append((yield from listener.accept()))
+                accepted.append((yield from listener.accept()))
 
         kernel.spawn(serve(), "serve")
         clients = []
         for _ in range(3):
             clients.append((yield from kernel.connect(listener.address, 500 * MS)))
         yield from kernel.sleep(20 * MS)
-        # Fill the gaps, then leave one descriptor: the next client's own.
+        # Uses up the free descriptors below the limit, then frees one for the next client's socket.
         top = max(map(int, os.listdir("/proc/self/fd")))
         fillers = [os.open(os.devnull, os.O_RDONLY)]
         while fillers[-1] <= top:
@@ -308,33 +309,34 @@
         yield from kernel.sleep(100 * MS)
         yield from kernel.connect(listener.address, 500 * MS)
         yield from kernel.sleep(100 * MS)
-        assert len(taken) == 4
+        assert len(accepted) == 4
         return listener.shed, end
 
     assert run(kernel, body()) == (1, b"")
     kernel.close()
 
 
-def night(seed: int) -> tuple[list[bytes], int]:
+def run_transfer(seed: int) -> tuple[list[bytes], int]:
+    """The segments received in a virtual run, and the time at its end."""
     kernel = VirtualKernel(seed, Network(cut_up=0.5))
-    got: list[bytes] = []
+    received: list[bytes] = []
 
     def body() -> Coroutine[None]:
-        here, there, _ = yield from pair(kernel)
+        here, there, _ = yield from connected_pair(kernel)
         for number in range(50):
             here.write(bytes([number]) * 100)
             yield from kernel.sleep(MS // 3)
         here.finish()
         while data := (yield from there.read()):
-            got.append(data)
+            received.append(data)
 
     run(kernel, body())
-    return got, kernel.now()
+    return received, kernel.now()
 
 
-def test_a_virtual_run_is_a_function_of_its_seed() -> None:
-    assert night(5) == night(5)
-    assert night(5) != night(6)
+def test_a_virtual_run_is_determined_by_its_seed() -> None:
+    assert run_transfer(5) == run_transfer(5)
+    assert run_transfer(5) != run_transfer(6)
 
 
 def test_a_killed_process_does_nothing_more() -> None:
@@ -368,11 +370,11 @@
     assert seen == []
 
 
-def test_bytes_do_not_overtake_those_that_wait_for_a_cut_to_heal() -> None:
+def test_bytes_do_not_overtake_those_delayed_by_a_cut() -> None:
     kernel = VirtualKernel(4)
 
     def body() -> Coroutine[bytes]:
-        here, there, _ = yield from pair(kernel)
+        here, there, _ = yield from connected_pair(kernel)
         kernel.network.cut = lambda source, address: True
         here.write(b"first")
         yield from kernel.sleep(30 * MS)
