--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -28,7 +28,7 @@
 from math import inf
 
 from peattrestle import interface as api
-from peattrestle.storms.sight import Key, Seen, Sight
+from peattrestle.storms.sight import RequestKey, Seen, Sight
 
 SECOND = 1_000_000_000
 
@@ -520,7 +520,7 @@
             self.offer(self.calls[asked.call])
 
     @staticmethod
-    def wanted(asked: api.CallArrived) -> Key:
+    def wanted(asked: api.CallArrived) -> RequestKey:
         return asked.gateway or asked.customer, asked.bearer_type, asked.destination, asked.number
 
     def offer(self, call: Call) -> None:
--- a/peattrestle/storms/__init__.py
+++ b/peattrestle/storms/__init__.py
@@ -1,1 +1,1 @@
-"""Retry and reconnect storms: seen, damped, signalled. Decisions only: no I/O, no clock."""
+"""Detection and damping of retry and reconnect storms, and notices to gateways; no I/O and no clock."""
--- a/peattrestle/storms/notice.py
+++ b/peattrestle/storms/notice.py
@@ -1,8 +1,8 @@
-"""Notices to gateways of the rate they may offer, each with a lifetime.
+"""Notices that tell gateways the rate at which they may offer calls, each with a lifetime.
 
-In the manner of RFC 7339 (overload control: a value, a validity, a sequence number, lifted by a validity of
-nothing) and RFC 7415 (the value is a rate, kept to by a leaky bucket at the sender). A notice is renewed at
-half its lifetime; one that is not renewed, because its agent has died, ends by itself.
+They follow RFC 7339 (overload control: a value, its validity and a sequence number; a validity of 0 ends the
+control) and RFC 7415 (the value is a rate, enforced by a leaky bucket at the sender). A notice is renewed at
+half its lifetime; one that is not renewed, because its agent has failed, expires by itself.
 """
 
 from __future__ import annotations
@@ -14,8 +14,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Notice:
-    """What a gateway may offer: `rate` calls a second for `lifetime` nanoseconds; a lifetime of 0 lifts it.
-    Of two notices the one with the higher `number` holds."""
+    """A limit on what a gateway may offer: `rate` calls per second for `lifetime` nanoseconds.
+
+    A lifetime of 0 lifts the limit. Of two notices the one with the higher `number` applies.
+    """
 
     rate: float
     lifetime: int
@@ -23,45 +25,50 @@
 
 
 @dataclass(slots=True)
-class _Told:
+class _SentNotice:
     rate: float
     until: int
     renew_at: int
 
 
 class Notices:
-    """What each gateway has been told. `look` says what to tell now: a notice at most each `STEP` for each
-    gateway, and none at all where there never was a reason for one."""
+    """Decides which notices to send; `first`: the number after which the notices are numbered.
+
+    A gateway gets at most one notice per `MIN_CHANGE_INTERVAL`, and none at all if it was never limited.
+    """
 
-    LIFETIME = 2 * SECOND
-    STEP = SECOND // 2
-    CHANGE = 0.2  # a rate that changed by less is not told before it must be renewed
+    LIFETIME = 2 * SECOND  # ns
+    MIN_CHANGE_INTERVAL = SECOND // 2  # ns
+    MIN_CHANGE = 0.2  # fraction; a rate that changed by less is not sent before the renewal
 
     def __init__(self, first: int = 1) -> None:
         self.number = first
-        self.told: dict[str, _Told] = {}
+        self.sent: dict[str, _SentNotice] = {}
 
     def look(self, now: int, shares: dict[str, float]) -> dict[str, Notice]:
-        """`shares`: the rate of each gateway that is to be held now; all others are free."""
-        out = {}
+        """The notices to send now, by gateway.
+
+        `shares`: rate in calls per second of each gateway that is limited now; all others are not limited.
+        """
+        due = {}
         for gateway, rate in shares.items():
-            before = self.told.get(gateway)
-            if before is not None:
-                changed = abs(rate - before.rate) > self.CHANGE * before.rate
-                soon = before.renew_at - self.LIFETIME // 2 + self.STEP
-                if now < (soon if changed else before.renew_at):
+            last = self.sent.get(gateway)
+            if last is not None:
+                changed = abs(rate - last.rate) > self.MIN_CHANGE * last.rate
+                next_change_at = last.renew_at - self.LIFETIME // 2 + self.MIN_CHANGE_INTERVAL
+                if now < (next_change_at if changed else last.renew_at):
                     continue
-            self.told[gateway] = _Told(rate, now + self.LIFETIME, now + self.LIFETIME // 2)
-            out[gateway] = self._next(rate, self.LIFETIME)
-        for gateway in [one for one in self.told if one not in shares]:
-            if self.told.pop(gateway).until > now:
-                out[gateway] = self._next(0.0, 0)
-        return out
+            self.sent[gateway] = _SentNotice(rate, now + self.LIFETIME, now + self.LIFETIME // 2)
+            due[gateway] = self._next_notice(rate, self.LIFETIME)
+        for gateway in [name for name in self.sent if name not in shares]:
+            if self.sent.pop(gateway).until > now:
+                due[gateway] = self._next_notice(0.0, 0)
+        return due
 
     def gone(self, gateway: str) -> None:
-        """Its connection has ended, and with it every notice."""
-        self.told.pop(gateway, None)
+        """Forgets the notices of a gateway whose connection has ended; they ended with it."""
+        self.sent.pop(gateway, None)
 
-    def _next(self, rate: float, lifetime: int) -> Notice:
+    def _next_notice(self, rate: float, lifetime: int) -> Notice:
         self.number += 1
         return Notice(rate, lifetime, self.number)
--- a/peattrestle/storms/restarts.py
+++ b/peattrestle/storms/restarts.py
@@ -1,9 +1,9 @@
-"""Restarts and reconnections paced: the gate of whoever is restarted to, the wait of whoever restarts.
+"""Pacing of restarts and reconnections: admission at the agent, and the maximum waiting delay of gateways.
 
-Source of the wait: the restart avalanche procedure of H.248.1 (RFC 3525, section 9.2): whoever restarts waits
-a time drawn evenly from nothing to the maximum waiting delay before its ServiceChange, and no longer where
-its own users ask for something or the controller does. The same text sizes the delay for trunk gateways by
-what they handle; here the gate tells it, from the number of gateways that it knows.
+The delay follows the restart avalanche procedure of H.248.1 (RFC 3525, section 9.2): a gateway that restarts
+waits a random time, uniform between 0 and the maximum waiting delay, before its ServiceChange, and less where
+one of its users or the controller asks for something earlier. That text derives the delay of trunk gateways
+from the calls they handle; here the agent derives it from the number of gateways it knows, and tells them.
 """
 
 from __future__ import annotations
@@ -14,38 +14,39 @@
 
 
 def waiting_delay(gateways: int, rate: float) -> int:
-    """Maximum waiting delay in nanoseconds for that many gateways at `rate` restarts a second."""
+    """Maximum waiting delay in nanoseconds for that many gateways at `rate` restarts per second."""
     return round(gateways / rate * SECOND)
 
 
 class Gate:
-    """Lets restarts through at `rate` a second, `burst` at once; the others each get a slot of their own.
+    """Admits restarts at `rate` per second, `burst` at once; each of the others gets a time slot of its own.
 
-    At quiet times each comes straight through. Were the evidence false, and all the restarts wanted at once,
-    the last of `most` gateways would wait `most` / `rate` seconds and no longer: a slot once given is kept
-    for its gateway, so that coming early, or again and again, gains nothing and costs it nothing.
+    At quiet times every restart is admitted at once. Where `max_slots` gateways restart together, the last
+    one waits `max_slots` / `rate` seconds; nobody waits longer, however many names there are. A slot once
+    given is kept for its gateway, so that asking early or repeatedly gains it nothing and costs it nothing.
+    At most `max_slots` slots are kept.
     """
 
-    def __init__(self, rate: float, burst: int, most: int) -> None:
-        self.burst, self.most = burst, most
-        self.each = round(SECOND / rate)
+    def __init__(self, rate: float, burst: int, max_slots: int) -> None:
+        self.burst, self.max_slots = burst, max_slots
+        self.interval = round(SECOND / rate)  # ns between two slots
         self.next_at = -(1 << 62)
         self.slots: OrderedDict[str, int] = OrderedDict()
 
     def comes(self, now: int, gateway: str) -> int:
-        """0: go on; else nanoseconds after which to come again."""
+        """Asks to admit a restart now: 0 if it is admitted, else nanoseconds after which to ask again."""
         slot = self.slots.get(gateway)
         if slot is not None:
             if now >= slot:
                 del self.slots[gateway]
                 return 0
             return slot - now
-        self.next_at = max(self.next_at, now - (self.burst - 1) * self.each)
-        slot = min(self.next_at, now + self.most * self.each)  # names without end push it no further
-        self.next_at = slot + self.each
+        self.next_at = max(self.next_at, now - (self.burst - 1) * self.interval)
+        slot = min(self.next_at, now + self.max_slots * self.interval)  # bounded for any number of names
+        self.next_at = slot + self.interval
         if slot <= now:
             return 0
-        while len(self.slots) >= self.most:
+        while len(self.slots) >= self.max_slots:
             self.slots.popitem(last=False)
         self.slots[gateway] = slot
         return slot - now
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/shares.py
@@ -1,8 +1,8 @@
-"""Fair shares of what can be carried, and who is let through the door by them.
+"""Admission control for the calls of gateways, by fair shares of the rate that can be carried.
 
-Shares are max-min fair, weighted by what each gateway usually offers: nobody gets more than it offers, and
-what one leaves is divided among the others. Within a gateway's share the dearer calls go first, so that a
-gateway full of repeats spends its own share on them only when its first calls have had theirs.
+Shares are max-min fair, weighted by the rate that each gateway usually offers: no gateway gets more than it
+offers, and what one leaves unused is divided among the others. Within a gateway's share the calls of higher
+expected revenue go first, so repeats use a gateway's share only after its first calls.
 """
 
 from __future__ import annotations
@@ -10,167 +10,198 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from peattrestle.storms.measure import SECOND, Faded
+from peattrestle.storms.measure import SECOND, DecayingCounter
 
-HALF = SECOND
+HALF_LIFE = SECOND  # ns, of the call rates
 
 
 def max_min(offered: Mapping[str, float], weights: Mapping[str, float], total: float) -> dict[str, float]:
-    """Each one's part of `total`; the sum is at most `total`, and all of it where it is wanted."""
-    out, left, weight = {}, max(0.0, total), sum(weights[name] for name in offered)
+    """Weighted max-min fair division of `total`: nobody gets more than it offers, by name.
+
+    The parts add up to `total` or to the sum of what is offered, whichever is less.
+    """
+    parts, remaining, remaining_weight = {}, max(0.0, total), sum(weights[name] for name in offered)
     for name in sorted(offered, key=lambda name: offered[name] / weights[name]):
-        out[name] = min(offered[name], left * weights[name] / weight if weight > 0 else left)
-        left -= out[name]
-        weight -= weights[name]
-    return out
+        parts[name] = min(
+            offered[name], remaining * weights[name] / remaining_weight if remaining_weight > 0 else remaining
+        )
+        remaining -= parts[name]
+        remaining_weight -= weights[name]
+    return parts
 
 
 @dataclass(slots=True)
 class Demand:
-    """What one gateway offers, by worth; `worth` has few values: bearer types, in time or late."""
+    """The calls that one gateway offers and the probability that they are admitted, by expected revenue.
+
+    There are few values of it: for each bearer type one for calls in time, and one for late ones.
+    """
 
-    by_worth: dict[float, Faded] = field(default_factory=dict)
-    chances: dict[float, float] = field(default_factory=dict)
+    counters: dict[float, DecayingCounter] = field(default_factory=dict)
+    admission_probability: dict[float, float] = field(default_factory=dict)
 
-    MOST_WORTHS = 16
+    MAX_REVENUES = 16  # distinct values counted
 
-    def add(self, now: int, worth: float) -> None:
-        one = self.by_worth.get(worth)
-        if one is None:
-            if len(self.by_worth) >= self.MOST_WORTHS:
-                return  # its chance is that of no limit: an unknown worth is not held against a call
-            one = self.by_worth[worth] = Faded(HALF)
-        one.add(now)
+    def add(self, now: int, revenue: float) -> None:
+        counter = self.counters.get(revenue)
+        if counter is None:
+            if len(self.counters) >= self.MAX_REVENUES:
+                return  # not counted, so it is admitted without limit
+            counter = self.counters[revenue] = DecayingCounter(HALF_LIFE)
+        counter.add(now)
 
     def offered(self, now: int) -> float:
-        return sum(one.rate(now) for one in self.by_worth.values())
+        return sum(counter.rate(now) for counter in self.counters.values())
 
     def divide(self, now: int, share: float) -> None:
-        """The share goes to the dearest first; what is left of it, as a chance, to the next."""
-        self.chances, left = {}, share
-        for worth in sorted(self.by_worth, reverse=True):
-            rate = self.by_worth[worth].rate(now)
-            self.chances[worth] = min(1.0, left / rate) if rate > 0 else 1.0
-            left = max(0.0, left - rate)
+        """Limits the admitted calls to `share` calls per second, those of the highest revenue first.
+
+        Calls of the revenue at which the share is used up are admitted with the probability that remains.
+        """
+        self.admission_probability, remaining = {}, share
+        for revenue in sorted(self.counters, reverse=True):
+            rate = self.counters[revenue].rate(now)
+            self.admission_probability[revenue] = min(1.0, remaining / rate) if rate > 0 else 1.0
+            remaining = max(0.0, remaining - rate)
 
 
 class Door:
-    """Holds gateways to their shares while many calls are turned away behind it, and only then.
+    """Limits gateways to their shares while many of the calls admitted here are refused by the controller.
 
-    A gateway is held for two reasons. All of them together send more than `MOST` times what lately stood at
-    best: repeats that nobody can serve, of which the agent is to be spared the most. Or it alone has grown by
-    more than the others: then it is held to its weighted share, but never under `ALIKE` times their growth,
-    so that a storm that all are in holds none of them harder than the rest.
+    A gateway is limited for one of two reasons. Either all gateways together offer more than
+    `MAX_OVERLOAD_FACTOR` times the best recent rate of answered calls: these are repeats that cannot be
+    served, and most of them are kept away from the agent. Or this gateway's rate has grown more than that of
+    the others: then it is limited to its weighted share, but never below `PEER_GROWTH_FACTOR` times their
+    growth, so that in a storm of all gateways none is limited more than the rest.
 
-    Were the evidence false, and calls stood seldom for another cause than load, such as exchanges cut off,
-    the total would stay at `MOST` times the best of the last minute, which is more than first calls come to.
+    Where few calls are answered for another reason than load, such as unreachable exchanges, the limit stays
+    at `MAX_OVERLOAD_FACTOR` times the best rate of the last minute, which is more than all first calls.
     """
 
-    START, END = 0.3, 0.1  # share of the calls let through that are turned away behind the door
-    START_AFTER, END_AFTER = SECOND // 2, 2 * SECOND
-    MOST = 4.0  # measured: half of it and first calls are held as well while a region is away
-    ALIKE = 1.5
-    STEP = SECOND // 4
-    LEAST = 2.0  # calls a second that are never too many
-    BEST_HALF = USUAL_HALF = 30 * SECOND
-    MOST_USUAL = 10_000  # gateways whose usual rate is remembered, those away too
+    START_SHARE, END_SHARE = 0.3, 0.1  # fraction of the admitted calls that the controller refuses
+    START_AFTER, END_AFTER = SECOND // 2, 2 * SECOND  # ns
+    MAX_OVERLOAD_FACTOR = 4.0  # at half of it, first calls are limited too while a region is unreachable
+    PEER_GROWTH_FACTOR = 1.5  # of the growth of the other gateways
+    UPDATE_INTERVAL = SECOND // 4  # ns
+    MIN_RATE = 2.0  # calls per second that are never limited
+    BEST_RATE_HALF_LIFE = USUAL_RATE_HALF_LIFE = 30 * SECOND  # ns
+    MAX_USUAL_RATES = 10_000  # gateways whose usual rate is remembered, also while they are disconnected
 
     def __init__(self) -> None:
         self.demands: dict[str, Demand] = {}
-        self.usual: dict[str, float] = {}  # calls a second of each gateway while none was held
-        self.rates: dict[str, float] = {}  # what each is told that it may offer, while any is held
-        self.stands, self.let, self.away = Faded(2 * SECOND), Faded(HALF), Faded(HALF)
+        self.usual_rates: dict[str, float] = {}  # calls per second by gateway, while none was limited
+        self.rate_limits: dict[str, float] = {}  # calls per second by gateway, while any is limited
+        self.stands, self.admitted, self.refused_calls = (
+            DecayingCounter(2 * SECOND),
+            DecayingCounter(HALF_LIFE),
+            DecayingCounter(HALF_LIFE),
+        )
         self.held = False
         self.turned_away = 0
-        self._best, self._best_at = 0.0, 0
-        self._passed_at = -1
-        self._look_at = 0
+        self._best_rate, self._best_at = 0.0, 0
+        self._threshold_passed_at = -1
+        self._next_update_at = 0
 
     def stood(self, now: int) -> None:
+        """Counts a call that was answered."""
         self.stands.add(now)
 
     def refused(self, now: int) -> None:
-        """By the module, behind the door."""
-        self.away.add(now)
+        """Counts a call that was admitted here and refused by the controller."""
+        self.refused_calls.add(now)
 
     def gone(self, gateway: str) -> None:
-        """Its connection has ended: its share is the others' at once."""
+        """Forgets a gateway whose connection has ended; its share goes to the others at once."""
         self.demands.pop(gateway, None)
-        self.rates.pop(gateway, None)
+        self.rate_limits.pop(gateway, None)
+
+    def lets(self, now: int, gateway: str, revenue: float, draw: float) -> bool:
+        """Counts a call of `gateway` and decides whether to admit it.
 
-    def lets(self, now: int, gateway: str, worth: float, chance: float) -> bool:
-        """Counts a call of `gateway`, and says whether it goes on to the module."""
+        revenue: expected revenue relative to the mean. draw: random number in [0, 1).
+        """
         demand = self.demands.get(gateway)
         if demand is None:
             demand = self.demands[gateway] = Demand()
-        demand.add(now, worth)
+        demand.add(now, revenue)
         self.look(now)
-        if self.held and chance >= demand.chances.get(worth, 1.0):
+        if self.held and draw >= demand.admission_probability.get(revenue, 1.0):
             self.turned_away += 1
             return False
-        self.let.add(now)
+        self.admitted.add(now)
         return True
 
-    def total(self, now: int) -> float:
-        """Calls a second above which they are only repeats of each other."""
-        self._best *= 0.5 ** ((now - self._best_at) / self.BEST_HALF)
-        self._best, self._best_at = max(self._best, self.stands.rate(now)), now
-        return max(self.LEAST, self.MOST * self._best)
+    def max_rate(self, now: int) -> float:
+        """Calls per second of all gateways; what is offered above that can only be repeats."""
+        self._best_rate *= 0.5 ** ((now - self._best_at) / self.BEST_RATE_HALF_LIFE)
+        self._best_rate, self._best_at = max(self._best_rate, self.stands.rate(now)), now
+        return max(self.MIN_RATE, self.MAX_OVERLOAD_FACTOR * self._best_rate)
 
     def look(self, now: int) -> None:
-        """Takes the state and the shares anew, if `STEP` has passed; work by the number of gateways."""
-        if now < self._look_at:
+        """Updates the state and the shares, once per `UPDATE_INTERVAL`.
+
+        The work grows with the number of gateways.
+        """
+        if now < self._next_update_at:
             return
-        self._look_at = now + self.STEP
-        let = self.let.rate(now)
-        share = self.away.rate(now) / max(1e-9, let)
+        self._next_update_at = now + self.UPDATE_INTERVAL
+        admitted = self.admitted.rate(now)
+        share = self.refused_calls.rate(now) / max(1e-9, admitted)
         if self.held:
-            # Where nobody calls, the share stays what it was: then it is the calls that say that it is over.
-            crossed, lasting = share < self.END or let < self.LEAST / 2, self.END_AFTER
+            # Without calls the share does not change, so a low rate of calls ends the limits as well.
+            past_threshold, min_duration = (
+                share < self.END_SHARE or admitted < self.MIN_RATE / 2,
+                self.END_AFTER,
+            )
         else:
-            crossed, lasting = share >= self.START and let >= self.LEAST, self.START_AFTER
-        if not crossed:
-            self._passed_at = -1
-        elif self._passed_at < 0:
-            self._passed_at = now
-        if self._passed_at >= 0 and now - self._passed_at >= lasting:
-            self.held, self._passed_at = not self.held, -1
-        offered = {name: one.offered(now) for name, one in self.demands.items()}
-        total = self.total(now)
+            past_threshold, min_duration = (
+                share >= self.START_SHARE and admitted >= self.MIN_RATE,
+                self.START_AFTER,
+            )
+        if not past_threshold:
+            self._threshold_passed_at = -1
+        elif self._threshold_passed_at < 0:
+            self._threshold_passed_at = now
+        if self._threshold_passed_at >= 0 and now - self._threshold_passed_at >= min_duration:
+            self.held, self._threshold_passed_at = not self.held, -1
+        offered = {name: demand.offered(now) for name, demand in self.demands.items()}
+        max_rate = self.max_rate(now)
         if self.held:
-            self._divide(now, offered, total)
+            self._divide(now, offered, max_rate)
         else:
-            self._settle(offered)
+            self._learn_usual_rates(offered)
 
-    def _settle(self, offered: dict[str, float]) -> None:
-        self.rates = {}
-        part = 1 - 0.5 ** (self.STEP / self.USUAL_HALF)
+    def _learn_usual_rates(self, offered: dict[str, float]) -> None:
+        self.rate_limits = {}
+        weight = 1 - 0.5 ** (self.UPDATE_INTERVAL / self.USUAL_RATE_HALF_LIFE)
         for name, rate in offered.items():
-            before = self.usual.get(name, rate)
-            self.usual[name] = before + part * (rate - before)
-            if rate <= 0.001:  # one that went silent takes no place for ever
-                del self.demands[name], self.usual[name]
-        if len(self.usual) > self.MOST_USUAL:  # of those that are away nothing is kept any more
-            self.usual = {name: self.usual[name] for name in self.demands}
-
-    def _divide(self, now: int, offered: dict[str, float], total: float) -> None:
-        self.rates = {}
-        known = [self.usual[name] for name in offered if name in self.usual]
-        mean = max(0.1, sum(known) / len(known) if known else 0.1)
-        weights = {name: max(mean / 2, self.usual.get(name, mean)) for name in offered}
-        wide = max_min(offered, weights, total)
-        fair = max_min(offered, weights, total * self.ALIKE / self.MOST)
-        weight, sum_of_all = sum(weights.values()), sum(offered.values())
+            previous = self.usual_rates.get(name, rate)
+            self.usual_rates[name] = previous + weight * (rate - previous)
+            if rate <= 0.001:  # a silent gateway is forgotten
+                del self.demands[name], self.usual_rates[name]
+        if len(self.usual_rates) > self.MAX_USUAL_RATES:  # forgets the disconnected ones
+            self.usual_rates = {name: self.usual_rates[name] for name in self.demands}
+
+    def _divide(self, now: int, offered: dict[str, float], max_rate: float) -> None:
+        self.rate_limits = {}
+        known_rates = [self.usual_rates[name] for name in offered if name in self.usual_rates]
+        mean_rate = max(0.1, sum(known_rates) / len(known_rates) if known_rates else 0.1)
+        weights = {name: max(mean_rate / 2, self.usual_rates.get(name, mean_rate)) for name in offered}
+        shares = max_min(offered, weights, max_rate)
+        min_shares = max_min(offered, weights, max_rate * self.PEER_GROWTH_FACTOR / self.MAX_OVERLOAD_FACTOR)
+        total_weight, total_offered = sum(weights.values()), sum(offered.values())
         for name, rate in offered.items():
-            others = (sum_of_all - rate) / max(1e-9, weight - weights[name])
-            alike = self.ALIKE * others * weights[name] if len(offered) > 1 else rate
-            share = min(wide[name], max(fair[name], alike))
+            others_growth = (total_offered - rate) / max(1e-9, total_weight - weights[name])
+            growth_share = (
+                self.PEER_GROWTH_FACTOR * others_growth * weights[name] if len(offered) > 1 else rate
+            )
+            share = min(shares[name], max(min_shares[name], growth_share))
             self.demands[name].divide(now, share)
-            # One that is not singled out is told its part of the whole, and not of what it sends now: told
-            # the latter, it would be told less each time.
-            part = 0.0 if share < wide[name] else total * weights[name] / weight
-            self.rates[name] = max(share, part)
+            # A gateway that is not limited more than by the total is told its weighted part of the total. If
+            # that followed from what it offers now, its limit would shrink with each notice it keeps to.
+            whole_part = 0.0 if share < shares[name] else max_rate * weights[name] / total_weight
+            self.rate_limits[name] = max(share, whole_part)
 
     def notices(self) -> dict[str, float]:
-        """The rate that each gateway is to offer; empty while none is held."""
-        return self.rates
+        """Rate in calls per second that each gateway may offer; empty while none is limited."""
+        return self.rate_limits
--- a/peattrestle/storms/sight.py
+++ b/peattrestle/storms/sight.py
@@ -1,12 +1,13 @@
-"""First tries told from further ones: by the caller's mark where its gateway marks, else by what was asked.
+"""Tells first tries of a caller from further ones.
 
-What a call asked for (gateway, bearer type, exchange, number) is kept when it ends without standing; the next
-call that asks for the same is taken for its further try, one for each that ended. Two callers of one gateway
-who dial the same number within the abandon time are so taken for one: at most as many as calls were turned
-away, so a number nobody is turned away from never shows further tries, however popular.
+Where a gateway marks further tries, by that mark; else by what was asked for. The request of a call (gateway,
+bearer type, exchange, number) is remembered when it ends unserved, and the next call with the same request is
+taken for its further try, one call for each unserved one. Two callers of one gateway who dial the same number
+within the abandon time are therefore taken for one caller. Such errors are at most as many as the calls that
+were refused: a number from which nobody is refused never shows further tries, however popular it is.
 
-Bounded: `most` unserved tries are kept, `MOST_ALIKE` of them for the same request; at the bound the oldest is
-forgotten and its further try counts as a first one, which errs towards leaving callers alone.
+Memory is bounded: at most `max_unserved` unserved tries are kept, `MAX_PER_REQUEST` of them for the same
+request. Beyond that the oldest is forgotten and its further try counts as a first one, which favours callers.
 """
 
 from __future__ import annotations
@@ -14,96 +15,111 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass
 
-FIRST, FURTHER, RETURNED = "first", "further", "returned"
-MOST_ALIKE = 8
+FIRST, FURTHER, RETURNED = "first", "further", "returned"  # returned: the caller was in a call that was cut
+MAX_PER_REQUEST = 8  # unserved tries
 
-Key = tuple[str, str, int, str]  # gateway, bearer type, exchange called, number called
+RequestKey = tuple[str, str, int, str]  # gateway, bearer type, exchange called, number called
 
 
 @dataclass(slots=True)
-class Unserved:
-    """A try that did not stand. Nanoseconds; `come_back` 0: its caller was told nothing."""
+class UnservedTry:
+    """A try whose call was not set up. Times in nanoseconds; `retry_after` 0: its caller got no advice."""
 
     first_at: int
     tries: int
-    come_back: int
+    retry_after: int
     ended_at: int
 
 
 @dataclass(slots=True, frozen=True)
 class Seen:
-    """What a call is. `first_at` is when its first try came here, -1 where that is not known; `tries` counts
-    this one; `told_at` and `due_at`: the caller was told then to come back then, 0 where it was not."""
+    """How a call was classified. Times in nanoseconds.
+
+    kind: `FIRST`, `FURTHER` or `RETURNED`. first_at: when the first try of its caller came, -1 where that is
+    not known. tries: the caller's tries up to and including this one. advised_at, due_at: when the caller got
+    advice to retry, and the time it was advised to retry at; both 0 where it got none.
+    """
 
     kind: str
     first_at: int
     tries: int = 1
-    told_at: int = 0
+    advised_at: int = 0
     due_at: int = 0
 
 
 class Sight:
-    """`lasting`: nanoseconds after its first try that a caller gives up for good."""
-
-    def __init__(self, lasting: int, most: int = 20_000) -> None:
-        self.lasting, self.most = lasting, most
-        self.held = 0
-        self._unserved: dict[Key, deque[Unserved]] = {}
-        self._order: deque[tuple[int, Key]] = deque()
-        self._marking: OrderedDict[str, None] = OrderedDict()  # gateways that were seen to mark
-
-    def asked(self, now: int, key: Key, marked: bool, was_cut: bool) -> Seen:
-        """A call has come. A further try uses up what is kept of the one before it."""
-        self._forget(now)
+    """Classifies the calls of one agent as first or further tries.
+
+    abandon_time: nanoseconds from its first try after which a caller gives up for good.
+    """
+
+    def __init__(self, abandon_time: int, max_unserved: int = 20_000) -> None:
+        self.abandon_time, self.max_unserved = abandon_time, max_unserved
+        self.unserved_count = 0
+        self._unserved: dict[RequestKey, deque[UnservedTry]] = {}
+        self._order: deque[tuple[int, RequestKey]] = deque()
+        self._marking: OrderedDict[str, None] = OrderedDict()  # gateways that have marked a further try
+
+    def asked(self, now: int, key: RequestKey, marked: bool, was_cut: bool) -> Seen:
+        """Classifies a new call; a further try takes the place of the unserved try before it."""
+        self._forget_expired(now)
         if was_cut:
             return Seen(RETURNED, now)
         if marked:
-            self._marks(key[0])
+            self._remember_marking(key[0])
         elif key[0] in self._marking:
-            # Its unmarked calls are first ones. One that lies gets no more than its gateway's share.
+            # This gateway marks further tries, so this is a first one. A gateway that omits marks to gain
+            # by it still gets no more than its share.
             return Seen(FIRST, now)
-        while (one := self._take(key)) is not None:
-            if now < one.first_at + self.lasting:
-                told = (one.ended_at, one.ended_at + one.come_back) if one.come_back else (0, 0)
-                return Seen(FURTHER, one.first_at, one.tries + 1, *told)
+        while (previous := self._take(key)) is not None:
+            if now < previous.first_at + self.abandon_time:
+                advice = (
+                    (previous.ended_at, previous.ended_at + previous.retry_after)
+                    if previous.retry_after
+                    else (0, 0)
+                )
+                return Seen(FURTHER, previous.first_at, previous.tries + 1, *advice)
         return Seen(FURTHER, -1, 2) if marked else Seen(FIRST, now)
 
-    def unserved(self, now: int, key: Key, seen: Seen, come_back: int) -> None:
-        """A call has ended without standing; its caller may come again."""
-        self._forget(now)
-        first_at = seen.first_at if seen.first_at >= 0 else now
-        alike = self._unserved.setdefault(key, deque())
-        alike.append(Unserved(first_at, seen.tries, come_back, now))
+    def unserved(self, now: int, key: RequestKey, attempt: Seen, retry_after: int) -> None:
+        """Remembers a call that was not set up, as its caller may try again.
+
+        retry_after: nanoseconds after which the caller was advised to retry, 0 where it got no advice.
+        """
+        self._forget_expired(now)
+        first_at = attempt.first_at if attempt.first_at >= 0 else now
+        same_request = self._unserved.setdefault(key, deque())
+        same_request.append(UnservedTry(first_at, attempt.tries, retry_after, now))
         self._order.append((now, key))
-        self.held += 1
-        if len(alike) > MOST_ALIKE:
+        self.unserved_count += 1
+        if len(same_request) > MAX_PER_REQUEST:
             self._take(key)
-        while len(self._order) > self.most:
+        while len(self._order) > self.max_unserved:
             self._drop_oldest()
 
-    def _marks(self, gateway: str) -> None:
+    def _remember_marking(self, gateway: str) -> None:
         self._marking[gateway] = None
         self._marking.move_to_end(gateway)
-        if len(self._marking) > 1000:
+        if len(self._marking) > 1000:  # gateways
             self._marking.popitem(last=False)
 
-    def _forget(self, now: int) -> None:
-        while self._order and self._order[0][0] <= now - self.lasting:
+    def _forget_expired(self, now: int) -> None:
+        while self._order and self._order[0][0] <= now - self.abandon_time:
             self._drop_oldest()
 
-    def _take(self, key: Key) -> Unserved | None:
-        alike = self._unserved.get(key)
-        if not alike:
+    def _take(self, key: RequestKey) -> UnservedTry | None:
+        same_request = self._unserved.get(key)
+        if not same_request:
             return None
-        one = alike.popleft()
-        self.held -= 1
-        if not alike:
+        oldest = same_request.popleft()
+        self.unserved_count -= 1
+        if not same_request:
             del self._unserved[key]
-        return one
+        return oldest
 
     def _drop_oldest(self) -> None:
-        """One place in the order goes, and with it what was put there, if no further try has used it up."""
-        at, key = self._order.popleft()
-        alike = self._unserved.get(key)
-        if alike and alike[0].ended_at <= at:
+        """Drops the oldest entry of the order, and its unserved try unless a further try has taken it."""
+        ended_at, key = self._order.popleft()
+        same_request = self._unserved.get(key)
+        if same_request and same_request[0].ended_at <= ended_at:
             self._take(key)
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -1,13 +1,14 @@
-"""Whether a storm is on, of which kind, since when, how large, and by what evidence.
+"""Detection of storms of repeated calls and connections: kind, start, end, size and evidence.
 
-Three kinds, each with a share at which it starts, a lower one at which it ends, and how long each must last:
+Each of the three kinds starts when its share passes a threshold for a minimum time, and ends when the share
+stays below a lower threshold for a minimum time:
 
-- retry: further tries outnumber first ones. A surge of first calls, however high, is none, unless so many
-  are turned away that the share of repeats tips: with a caller's two redials that takes six in ten.
-- return: calls that were cut come again.
-- reconnect: many of the gateways known make a connection at once.
+- retry: further tries outnumber first ones. A surge of first calls is no storm, however high, unless so many
+  calls are refused that the repeats outnumber them: with two redials per caller that takes six in ten.
+- return: callers whose calls were cut call again.
+- reconnect: many of the known gateways connect at once.
 
-Work for each event is constant, whatever the number of gateways, calls and exchanges.
+The work per event is constant for any number of gateways, calls and exchanges.
 """
 
 from __future__ import annotations
@@ -15,34 +16,41 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from peattrestle.storms.measure import SECOND, Faded, Histogram
+from peattrestle.storms.measure import SECOND, DecayingCounter, Histogram
 from peattrestle.storms.sight import FIRST, FURTHER, Seen
 
 RETRY, RETURN, RECONNECT = "retry", "return", "reconnect"
-HALF = SECOND  # rates fade by half in this: a storm is seen within a second or two
+HALF_LIFE = SECOND  # ns, of the rates: a storm is detected within a second or two
 
 
 @dataclass(slots=True, frozen=True)
-class Marks:
-    """When a kind starts and ends. `least`: events a second below which nothing is a storm."""
+class Thresholds:
+    """Thresholds of one kind of storm.
 
-    start: float
-    end: float
-    least: float
+    start_share, end_share: fractions, see `Watch.share`. min_rate: events per second below which no storm
+    starts; one ends below half of it. start_after, end_after: ns for which a threshold must be passed.
+    """
+
+    start_share: float
+    end_share: float
+    min_rate: float
     start_after: int
     end_after: int
 
 
-MARKS = {
-    RETRY: Marks(0.5, 0.25, 3.0, SECOND // 2, 2 * SECOND),
-    RETURN: Marks(0.3, 0.1, 3.0, 0, 2 * SECOND),
-    RECONNECT: Marks(0.3, 0.05, 2.0, 0, 2 * SECOND),
+THRESHOLDS = {
+    RETRY: Thresholds(0.5, 0.25, 3.0, SECOND // 2, 2 * SECOND),
+    RETURN: Thresholds(0.3, 0.1, 3.0, 0, 2 * SECOND),
+    RECONNECT: Thresholds(0.3, 0.05, 2.0, 0, 2 * SECOND),
 }
 
 
 @dataclass(slots=True)
 class Storm:
-    """`size`: events of its kind so far; `peak`: most of them a second."""
+    """A detected storm; times in nanoseconds, `ended_at` is 0 while it lasts.
+
+    evidence: the figures at its start, for a log line. size: events so far. peak: most events per second.
+    """
 
     kind: str
     started_at: int
@@ -53,116 +61,139 @@
 
 
 @dataclass(slots=True)
-class _Level:
+class _KindState:
     storm: Storm | None = None
-    passed_at: int = -1  # since when the share has been past the mark that would change the state
+    passed_at: int = -1  # since when the threshold that would change the state has been passed; -1: it is not
 
 
 class Watch:
-    """Told of every call and connection; asked by `look`, at any pace."""
+    """Detects storms from every call and connection it is told of; `look` may be called at any interval."""
 
     def __init__(self) -> None:
-        self.first, self.further = Faded(HALF), Faded(HALF)
-        self.returned, self.connects = Faded(HALF), Faded(HALF)
-        self.tries = Histogram((1, 2, 3, 5, 8), 4 * SECOND)  # which try of its caller a call was
-        self.kept = Histogram((0.5, 0.9, 1.1, 2.0), 4 * SECOND)  # when callers came, in shares of the advice
-        self.away = Histogram((0.1, 0.5, 2.0, 10.0), 4 * SECOND)  # seconds a gateway was gone
-        self.back = Histogram((0.5, 1.0, 2.0, 5.0), 4 * SECOND)  # seconds from a cut to a return
-        self._cuts: OrderedDict[str, int] = OrderedDict()
+        self.first, self.further = DecayingCounter(HALF_LIFE), DecayingCounter(HALF_LIFE)
+        self.returned, self.connects = DecayingCounter(HALF_LIFE), DecayingCounter(HALF_LIFE)
+        self.tries = Histogram((1, 2, 3, 5, 8), 4 * SECOND)  # number of the try of its caller
+        self.retry_times = Histogram((0.5, 0.9, 1.1, 2.0), 4 * SECOND)  # as fractions of the advised time
+        self.disconnections = Histogram((0.1, 0.5, 2.0, 10.0), 4 * SECOND)  # seconds that they lasted
+        self.returns = Histogram((0.5, 1.0, 2.0, 5.0), 4 * SECOND)  # seconds from a cut to the next call
+        self._last_cuts: OrderedDict[str, int] = OrderedDict()
         self.gateways = 0
-        self.levels = {kind: _Level() for kind in MARKS}
+        self.states = {kind: _KindState() for kind in THRESHOLDS}
 
-    MOST_CUTS = 1000
+    MAX_CUTS = 1000  # gateways
 
     def cut(self, now: int, gateway: str) -> None:
-        """A standing call of this gateway was cut. The gateway whose last cut is longest ago is forgotten."""
-        self._cuts[gateway] = now
-        self._cuts.move_to_end(gateway)
-        if len(self._cuts) > self.MOST_CUTS:
-            self._cuts.popitem(last=False)
+        """Remembers that a call of this gateway was cut.
+
+        At the limit the gateway whose last cut is longest ago is forgotten.
+        """
+        self._last_cuts[gateway] = now
+        self._last_cuts.move_to_end(gateway)
+        if len(self._last_cuts) > self.MAX_CUTS:
+            self._last_cuts.popitem(last=False)
 
     def call(self, now: int, seen: Seen, gateway: str = "") -> None:
+        """Counts a call by its classification."""
         if seen.kind == FIRST:
             self.first.add(now)
         elif seen.kind == FURTHER:
             self.further.add(now)
-            self._count(RETRY)
+            self._count_in_storm(RETRY)
             if seen.due_at and seen.first_at >= 0:
-                told = max(1, seen.due_at - seen.told_at)
-                self.kept.note(now, (now - seen.told_at) / told)
+                advised = max(1, seen.due_at - seen.advised_at)
+                self.retry_times.add(now, (now - seen.advised_at) / advised)
         else:
             self.returned.add(now)
-            self._count(RETURN)
-            if gateway in self._cuts:
-                self.back.note(now, (now - self._cuts[gateway]) / SECOND)
-        self.tries.note(now, seen.tries)
+            self._count_in_storm(RETURN)
+            if gateway in self._last_cuts:
+                self.returns.add(now, (now - self._last_cuts[gateway]) / SECOND)
+        self.tries.add(now, seen.tries)
 
-    def connected(self, now: int, gateways: int, away: int) -> None:
-        """A gateway made a connection. `gateways`: known now; `away`: since its last one ended, -1: new."""
+    def connected(self, now: int, gateways: int, disconnected_for: int) -> None:
+        """Counts a connection of a gateway.
+
+        gateways: number of gateways known now. disconnected_for: ns since its last connection ended, -1 for
+        a new gateway.
+        """
         self.gateways = gateways
         self.connects.add(now)
-        self._count(RECONNECT)
-        if away >= 0:
-            self.away.note(now, away / SECOND)
+        self._count_in_storm(RECONNECT)
+        if disconnected_for >= 0:
+            self.disconnections.add(now, disconnected_for / SECOND)
 
-    def _count(self, kind: str) -> None:
-        storm = self.levels[kind].storm
+    def _count_in_storm(self, kind: str) -> None:
+        storm = self.states[kind].storm
         if storm is not None:
             storm.size += 1
 
     def offered(self, now: int) -> float:
-        """Calls a second, first and further."""
+        """Calls per second of all kinds."""
         return self.first.rate(now) + self.further.rate(now) + self.returned.rate(now)
 
-    def without(self, now: int) -> float:
-        """Calls a second that there would be without repeats."""
+    def rate_without_repeats(self, now: int) -> float:
+        """Calls per second without the further tries."""
         return self.first.rate(now) + self.returned.rate(now)
 
     def share(self, now: int, kind: str) -> tuple[float, float]:
-        """Share and events a second of a kind."""
+        """Share and rate of a kind of storm.
+
+        The share is a fraction of the calls, for `RECONNECT` of the known gateways; the rate is in events per
+        second.
+        """
         if kind == RECONNECT:
             rate = self.connects.rate(now)
-            # Seen over two half-lives: all of them at once must read as all of them.
+            # The counter shows one event as a rate of ln 2, about 0.7, per half-life: divided by that, all
+            # gateways at once are a share of 1.
             return rate / max(1, self.gateways) / 0.7, rate
         rate = (self.further if kind == RETRY else self.returned).rate(now)
         return rate / max(1e-9, self.offered(now)), rate
 
     def look(self, now: int) -> list[Storm]:
-        """Storms that have just begun (`ended_at` 0) or ended."""
-        news = []
-        for kind, level in self.levels.items():
-            marks, (share, rate) = MARKS[kind], self.share(now, kind)
-            if level.storm is None:
-                crossed, lasting = share >= marks.start and rate >= marks.least, marks.start_after
+        """Storms that have started (`ended_at` 0) or ended since the last call."""
+        changes = []
+        for kind, state in self.states.items():
+            thresholds, (share, rate) = THRESHOLDS[kind], self.share(now, kind)
+            if state.storm is None:
+                past_threshold, min_duration = (
+                    share >= thresholds.start_share and rate >= thresholds.min_rate,
+                    thresholds.start_after,
+                )
             else:
-                level.storm.peak = max(level.storm.peak, rate)
-                crossed, lasting = share < marks.end or rate < marks.least / 2, marks.end_after
-            if not crossed:
-                level.passed_at = -1
+                state.storm.peak = max(state.storm.peak, rate)
+                past_threshold, min_duration = (
+                    share < thresholds.end_share or rate < thresholds.min_rate / 2,
+                    thresholds.end_after,
+                )
+            if not past_threshold:
+                state.passed_at = -1
                 continue
-            if level.passed_at < 0:
-                level.passed_at = now
-            if now - level.passed_at < lasting:
+            if state.passed_at < 0:
+                state.passed_at = now
+            if now - state.passed_at < min_duration:
                 continue
-            level.passed_at = -1
-            if level.storm is None:
-                level.storm = Storm(kind, now, self.evidence(now, kind), peak=rate)
-                news.append(level.storm)
+            state.passed_at = -1
+            if state.storm is None:
+                state.storm = Storm(kind, now, self.evidence(now, kind), peak=rate)
+                changes.append(state.storm)
             else:
-                level.storm.ended_at = now
-                news.append(level.storm)
-                level.storm = None
-        return news
+                state.storm.ended_at = now
+                changes.append(state.storm)
+                state.storm = None
+        return changes
 
     def evidence(self, now: int, kind: str) -> str:
+        """The figures that show the storm, for a log line."""
         share, rate = self.share(now, kind)
         if kind == RECONNECT:
-            gone = self.away.text(now, " s")
-            return f"{rate:.1f} connections a second from {self.gateways} known gateways; gone {gone or '-'}"
-        what = "further tries" if kind == RETRY else "cut calls again"
+            disconnected = self.disconnections.format(now, " s")
+            return (
+                f"{rate:.1f} connections a second from {self.gateways} known gateways; "
+                f"gone for {disconnected or '-'}"
+            )
+        repeats = "further tries" if kind == RETRY else "calls after a cut"
         return (
-            f"{share:.0%} of {self.offered(now):.1f} calls a second are {what}, "
-            f"{self.without(now):.1f} without repeats; tries {self.tries.text(now)}; "
-            f"came at {self.kept.text(now) or '-'} of the time told, "
-            f"after cuts {self.back.text(now, ' s') or '-'}"
+            f"{share:.0%} of {self.offered(now):.1f} calls a second are {repeats}, "
+            f"{self.rate_without_repeats(now):.1f} without repeats; tries {self.tries.format(now)}; "
+            f"retried at {self.retry_times.format(now) or '-'} of the advised time, "
+            f"after cuts within {self.returns.format(now, ' s') or '-'}"
         )
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -1,4 +1,4 @@
-"""The storm parts in an agent, from its callers' port: restarts, notices, shares, come-back times."""
+"""Storm handling of an agent, through its port for gateways: restarts, notices, shares, retry delays."""
 
 from __future__ import annotations
 
@@ -19,34 +19,35 @@
 SECOND = 1_000_000_000
 
 
-def services(heard: Any) -> dict[str, str]:
-    found = package.first_command(heard.reply.actions)
-    inside = found[1].find("Services") if found else None
-    return {one.name: one.value or "" for one in (inside.items or ())} if inside else {}
+def services(answered: Any) -> dict[str, str]:
+    """Items of the Services descriptor in the reply to a request."""
+    command = package.first_command(answered.reply.actions)
+    descriptor = command[1].find("Services") if command else None
+    return {item.name: item.value or "" for item in (descriptor.items or ())} if descriptor else {}
 
 
-def test_restarts_at_once_are_told_when_to_come_and_are_taken_then() -> None:
+def test_simultaneous_restarts_get_a_waiting_delay_and_are_accepted_after_it() -> None:
     town = Town(Limits(restarts=10))
-    greeted: list[int] = []
+    accepted_at: list[int] = []
 
-    def again(session: Session) -> None:
+    def restart_again(session: Session) -> None:
         session.request("hello", lambda number: package.service_change_text(number, "Restart", "901"))
 
     def gateway(name: str) -> Coroutine[None]:
         session, stream = yield from town.gateway(name)
         while data := (yield from stream.read()):
-            for heard in session.feed(town.kernel.now(), data):
-                if not isinstance(heard, Answered) or heard.kept != "hello":
+            for message in session.feed(town.kernel.now(), data):
+                if not isinstance(message, Answered) or message.kept != "hello":
                     continue
-                said = services(heard)
-                if "ptl/wai" in said:
+                reply_items = services(message)
+                if "ptl/wai" in reply_items:
                     town.kernel.at(
-                        town.kernel.now() + int(said["ptl/wai"]),
-                        lambda: again(session),
+                        town.kernel.now() + int(reply_items["ptl/wai"]),
+                        lambda: restart_again(session),
                     )
                 else:
-                    greeted.append(town.kernel.now())
-                    assert int(said["ptl/mwd"]) > 0
+                    accepted_at.append(town.kernel.now())
+                    assert int(reply_items["ptl/mwd"]) > 0
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
@@ -55,61 +56,65 @@
         yield from town.kernel.sleep(4 * SECOND)
 
     town.run(body())
-    assert len(greeted) == 20
-    within = [sum(1 for at in greeted if begin <= at < begin + SECOND) for begin in greeted]
-    assert max(within) <= 13  # ten a second and the burst
+    assert len(accepted_at) == 20
+    accepted_per_second = [
+        sum(1 for at in accepted_at if begin <= at < begin + SECOND) for begin in accepted_at
+    ]
+    assert max(accepted_per_second) <= 13  # 10 a second and the burst
     assert town.agent.counts.values["restarts_held_back"] >= 18
 
 
-def test_a_gateway_that_sends_far_too_much_is_told_a_rate_and_later_freed() -> None:
+def test_a_gateway_that_floods_gets_a_rate_limit_that_is_lifted_later() -> None:
     town = Town(Limits())
     notices: list[Notice] = []
     codes: list[tuple[int, int]] = []
 
-    def listen(session: Any, stream: Any) -> Coroutine[None]:
+    def receive(session: Any, stream: Any) -> Coroutine[None]:
         while data := (yield from stream.read()):
-            for heard in session.feed(town.kernel.now(), data):
-                if isinstance(heard, New):
-                    found = package.first_command(heard.request.actions)
-                    assert found is not None
-                    notice = package.read_rate(found[1])
+            for message in session.feed(town.kernel.now(), data):
+                if isinstance(message, New):
+                    command = package.first_command(message.request.actions)
+                    assert command is not None
+                    notice = package.read_rate(command[1])
                     if notice is not None:
                         notices.append(notice)
                     session.reply(
-                        heard.request.id, package.command_reply(heard.request.id, "-", "Notify", "ROOT")
+                        message.request.id, package.command_reply(message.request.id, "-", "Notify", "ROOT")
                     )
-                elif isinstance(heard, Answered) and isinstance(heard.kept, int):
-                    outcome = package.read_outcome(heard.reply)
+                elif isinstance(message, Answered) and isinstance(message.kept, int):
+                    outcome = package.read_outcome(message.reply)
                     codes.append((outcome.code, outcome.come_back))
 
-    handle, held = town.agent.controller.handle, list[int]()
+    handle, limited_calls = town.agent.controller.handle, list[int]()
 
-    def spied(now: int, events: Any) -> Any:
+    def record_limited_calls(now: int, events: Any) -> Any:
         events = list(events)
-        held.extend(one.call for one in events if isinstance(one, api.CallArrived) and one.held)
+        limited_calls.extend(
+            event.call for event in events if isinstance(event, api.CallArrived) and event.held
+        )
         return handle(now, events)
 
-    town.agent.controller.handle = spied  # type: ignore[method-assign]
+    town.agent.controller.handle = record_limited_calls  # type: ignore[method-assign]
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
         session, stream = yield from town.gateway()
-        town.kernel.spawn(listen(session, stream), "listen", watch=False)
-        for number in range(300):  # 200 a second; the group has a few circuits
+        town.kernel.spawn(receive(session, stream), "receive", watch=False)
+        for number in range(300):  # 200 a second; the trunk group has a few circuits
             town.call(session, number)
             yield from town.kernel.sleep(5 * MS)
         yield from town.kernel.sleep(10 * SECOND)
 
     town.run(body())
-    assert len(codes) == 300  # one final answer each, held at the door or behind it
-    assert len(held) == town.agent.counts.values["held_to_share"] > 10
+    assert len(codes) == 300  # one final answer each, limited or not
+    assert len(limited_calls) == town.agent.counts.values["held_to_share"] > 10
     assert all(come_back > 0 for code, come_back in codes if code == package.REFUSED)
     assert notices[0].lifetime > 0 and notices[0].rate < 200
     assert notices[-1].lifetime == 0  # lifted
-    assert [one.number for one in notices] == sorted({one.number for one in notices})
+    assert [notice.number for notice in notices] == sorted({notice.number for notice in notices})
 
 
-def test_a_gateway_that_answers_no_notice_ends_nobody_elses() -> None:
+def test_notices_go_on_where_a_gateway_does_not_reply_to_them() -> None:
     town = Town(Limits(open_requests=1))
     town.agent.storms.door.notices = lambda: {"<g0>": town.kernel.now() / SECOND}  # type: ignore[method-assign]
 
@@ -124,7 +129,7 @@
 
 
 @pytest.mark.parametrize(
-    ("event", "fault"),
+    ("event", "error"),
     [
         ("ptl/rat{cps=12.500,val=2000000000,seq=7}", ""),
         ("ptl/rat{cps=-1,val=1,seq=7}", "cps"),
@@ -135,15 +140,15 @@
         ("ptl/rat{cps=1,val=5}", "seq"),
     ],
 )
-def test_a_notice_as_bytes(event: str, fault: str) -> None:
+def test_encoding_and_errors_of_a_notice(event: str, error: str) -> None:
     message = text.parse(
         b"MEGACO/1 <a1>\nTransaction=3{Context=-{Notify=ROOT{ObservedEvents=0{" + event.encode() + b"}}}}"
     )
     request = message.parts[0]
     assert isinstance(request, text.Request)
     command = request.actions[0].commands[0]
-    if fault:
-        with pytest.raises(BadValue, match=fault):
+    if error:
+        with pytest.raises(BadValue, match=error):
             package.read_rate(command)
     else:
         assert package.read_rate(command) == Notice(12.5, 2 * SECOND, 7)
