--- a/peattrestle/policy/__init__.py
+++ b/peattrestle/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the call agent that stand apart from routing; pure, without I/O or clock."""
+"""Decisions of the call agent other than routing, such as shutdown; no I/O and no clock."""
--- a/peattrestle/policy/shutdown.py
+++ b/peattrestle/policy/shutdown.py
@@ -1,7 +1,7 @@
-"""What a call agent still takes on after SIGTERM, and by when it has to be done.
+"""Deadlines of a graceful shutdown, and which calls are still accepted after SIGTERM.
 
-The platform may kill the process at a known earliest time. Everything taken has to be answered, and every
-connection closed, before that time; so each call's time ends with the shutdown's, and a call that could no
+The platform may kill the process from a known time on. By then every accepted call must be answered and every
+connection closed. So calls are abandoned at the latest when the last answers are due, and a call that can no
 longer be set up in time is refused at once, before anything is sent for it. Times are nanoseconds of the
 caller's clock.
 """
@@ -10,14 +10,17 @@
 
 from dataclasses import dataclass
 
-MS = 1_000_000
-LONGEST_DEADLINE = 3_000 * MS  # the platform counts a longer one as this
-KILL_DELAY = 700 * MS  # from SIGTERM, beyond the longest deadline
-CLOSE_BEFORE_KILL = 200 * MS  # set-ups may cross the close for 50 ms, and a busy core delays it
+MS = 1_000_000  # nanoseconds
+
+# All in nanoseconds.
+MAX_COUNTED_DEADLINE = 3_000 * MS  # the platform counts a longer deadline as this
+KILL_DELAY = 700 * MS  # from SIGTERM to the earliest kill, beyond the longest deadline
+CLOSE_MARGIN = 200 * MS  # before the kill: set-ups may cross the close for 50 ms, and a busy core delays it
 ANSWER_BEFORE_CLOSE = 20 * MS
-QUIET = 500 * MS  # without a set-up, before an agent that holds nothing ends early
-EARLIEST_END = 1_000 * MS  # new connections and set-ups on them come until 0.6 s after SIGTERM
-PAUSE_SHARE = 3  # a refused caller is told to come back after this part of the GoS target
+QUIET_TIME = 500 * MS  # without a set-up, before an agent without calls ends early
+MIN_SHUTDOWN_TIME = 1_000 * MS  # new connections and set-ups on them arrive until 0.6 s after SIGTERM
+
+RETRY_DELAY_DIVISOR = 3  # a refused caller is advised to retry after a third of the GoS target
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,28 +33,34 @@
 
     @classmethod
     def begin(cls, now: int, longest_deadline: int) -> ShutdownPlan:
-        """SIGTERM has come. `longest_deadline`: of all bearer types, in nanoseconds."""
-        counted = min(longest_deadline, LONGEST_DEADLINE)
-        close_at = now + counted + KILL_DELAY - CLOSE_BEFORE_KILL
+        """Plans the shutdown when SIGTERM arrives; `longest_deadline`: of all bearer types, in ns."""
+        counted = min(longest_deadline, MAX_COUNTED_DEADLINE)
+        close_at = now + counted + KILL_DELAY - CLOSE_MARGIN
         return cls(now, close_at - ANSWER_BEFORE_CLOSE, close_at)
 
     def takes(self, now: int, patience: int, target: int) -> bool:
-        """Whether a call that comes now can still be set up within its GoS target."""
+        """Whether a call that arrives now can still be set up within its GoS target, `target`."""
         return now + min(patience, target) <= self.answer_by
 
-    def abandon_at(self, asked: int) -> int:
-        """The call's abandon time, `asked` where the shutdown lasts longer."""
-        return min(asked, self.answer_by)
+    def abandon_at(self, requested: int) -> int:
+        """The abandon time of a call: `requested`, but no later than the last answers are due."""
+        return min(requested, self.answer_by)
 
-    def may_end(self, now: int, last_set_up_at: int, held: int) -> bool:
-        """Whether nothing is left to wait for. `held`: calls open or standing."""
+    def may_end(self, now: int, last_set_up_at: int, open_calls: int) -> bool:
+        """Whether the shutdown may end now; `open_calls`: calls that are being set up or in progress."""
         if now >= self.close_at:
             return True
-        return not held and now >= self.began_at + EARLIEST_END and now >= last_set_up_at + QUIET
+        return (
+            not open_calls and now >= self.began_at + MIN_SHUTDOWN_TIME and now >= last_set_up_at + QUIET_TIME
+        )
 
 
 def pause(target: int, longest: int, allowed: bool, in_transit: bool) -> int:
-    """How long a caller refused in a shutdown is to stay away; 0: no advice. `longest`: by the settings."""
+    """Nanoseconds after which a caller refused during a shutdown should retry; 0: no advice.
+
+    target: the call's GoS target. longest: upper limit from the settings. allowed: whether the settings allow
+    such advice at all; a call in transit gets none.
+    """
     if not allowed or in_transit:
         return 0
-    return min(longest, target // PAUSE_SHARE)
+    return min(longest, target // RETRY_DELAY_DIVISOR)
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The shutdown plan: its times come from the platform's pages, whatever the deadlines are."""
+"""The shutdown plan keeps to the times that the platform documents, for any deadline."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-CROSSING = 50 * MS
+CROSSING_TIME = 50 * MS  # set-ups may cross the close for this long
 
 
 @pytest.mark.parametrize(
@@ -17,13 +17,13 @@
 )
 def test_all_is_answered_and_closed_before_the_earliest_kill(deadline: int, earliest_kill: int) -> None:
     plan = ShutdownPlan.begin(SECOND, deadline * MS)
-    assert SECOND < plan.answer_by < plan.close_at <= SECOND + earliest_kill * MS - CROSSING
+    assert SECOND < plan.answer_by < plan.close_at <= SECOND + earliest_kill * MS - CROSSING_TIME
     assert plan.abandon_at(SECOND + 70_000 * MS) == plan.answer_by
     assert plan.abandon_at(SECOND + 1) == SECOND + 1
-    assert plan.may_end(plan.close_at, plan.close_at, held=5)
+    assert plan.may_end(plan.close_at, plan.close_at, open_calls=5)
 
 
-def test_a_call_is_taken_as_long_as_it_can_stand_within_its_target() -> None:
+def test_a_call_is_accepted_as_long_as_it_can_be_answered_within_its_gos_target() -> None:
     plan = ShutdownPlan.begin(0, 1_000 * MS)
     target, patience = 400 * MS, 900 * MS
     assert plan.takes(plan.answer_by - target, patience, target)
@@ -31,15 +31,15 @@
     assert plan.takes(plan.answer_by - 100 * MS, 100 * MS, target)
 
 
-def test_it_ends_early_only_when_nothing_is_held_and_nobody_calls() -> None:
+def test_the_shutdown_ends_early_only_without_calls_and_set_ups() -> None:
     plan = ShutdownPlan.begin(0, 3_000 * MS)
-    assert plan.may_end(SECOND, 400 * MS, held=0)
-    assert not plan.may_end(SECOND, 400 * MS, held=1)
-    assert not plan.may_end(SECOND, 600 * MS, held=0)
-    assert not plan.may_end(900 * MS, 0, held=0)
+    assert plan.may_end(SECOND, 400 * MS, open_calls=0)
+    assert not plan.may_end(SECOND, 400 * MS, open_calls=1)
+    assert not plan.may_end(SECOND, 600 * MS, open_calls=0)
+    assert not plan.may_end(900 * MS, 0, open_calls=0)
 
 
-def test_the_advice_to_come_back_keeps_to_the_settings() -> None:
+def test_the_retry_delay_keeps_to_the_settings() -> None:
     assert pause(300 * MS, 2 * SECOND, allowed=True, in_transit=False) == 100 * MS
     assert pause(300 * MS, 50 * MS, allowed=True, in_transit=False) == 50 * MS
     assert pause(300 * MS, 2 * SECOND, allowed=False, in_transit=False) == 0
