--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -1,4 +1,7 @@
-"""What goes into the controller and what comes out of it; times are whole nanoseconds."""
+"""Events that are passed to the controller, and actions that it returns.
+
+Times and durations are whole nanoseconds of the clock that `Controller.handle` is called with.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +12,15 @@
 from peattrestle.storms.sight import Seen
 
 Settings = Mapping[str, Any]
-Load = Mapping[str, float]
+Load = Mapping[str, float]  # 'free' and 'size' in circuits, 'rate' in set-ups per second; each may be missing
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One line of the exchange list; state is 'ready', 'draining' or 'gone'."""
+    """One entry of the exchange list.
+
+    state: 'ready', 'draining' or 'gone'. started_at: when the exchange started, 0 where that is not known.
+    """
 
     exchange: str
     number: int
@@ -25,7 +31,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Listed:
-    """The list's word; form is 'delta', 'full', 'cached' or 'failed'."""
+    """Entries of the exchange list.
+
+    form: 'delta' (changes only), 'full' (an exchange that is missing is gone), 'cached' (full, from a stored
+    copy) or 'failed' (the list could not be read; no entries).
+    """
 
     form: str
     entries: tuple[Entry, ...] = ()
@@ -33,11 +43,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CallArrived:
-    """A call for the exchange `destination`; `via` is advice, or in transit the number it comes from.
-
-    `gateway`: whose caller asks, '' where it is not known. `seen`: whether it is a further try, where the
-    caller of the module has asked that already; else the module finds out. `held`: over its gateway's share,
-    so that it is only to be told when to come back.
+    """A call for the exchange with the number `destination`.
+
+    abandon_at: time at which the caller gives up. number: the called number. width: circuits it takes.
+    via: number of a tandem to prefer, in transit that of the exchange the call comes from; -1: none.
+    transit: another exchange sent it here to be sent on. cut_before: the caller was in a call that was cut.
+    repeat: the gateway marks it as a further try. customer, gateway: who calls, '' where that is not known.
+    held: its gateway is over its share, so the call is only refused with advice when to retry.
+    seen: first or further try, where the agent has already found that out; else the controller does.
     """
 
     call: int
@@ -58,7 +71,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Stood:
-    """The route try was answered: the call stands."""
+    """A route try was answered, `delay` after it was sent: the call is set up.
+
+    route_try: index of the try within its call, from 0.
+    """
 
     call: int
     exchange: str
@@ -68,11 +84,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TryEnded:
-    """The one outcome of a route try.
-
-    result: 'served', 'error', 'full', 'timeout', 'connect_failed', 'reset', 'cancelled' or 'moot'.
-    cause: '', 'no_circuit', 'turned_back', 'beyond_full', 'processor_full' or 'lines_busy'.
-    `done` tells that the call has had its final answer; `wait` is the wait a full processor named.
+    """A route try has ended; there is exactly one for each try.
+
+    result: 'served', 'error', 'full', 'timeout', 'connect_failed', 'reset', 'cancelled' or 'moot' (not sent).
+    cause: '', 'no_circuit' (none free in the trunk group), 'turned_back' (the tandem has none to the
+    destination), 'beyond_full' (the destination's processor is full, behind a tandem), 'processor_full' or
+    'lines_busy' (the called number).
+    delay: from sending the set-up. done: the call has had its final answer. wait: time after which a full
+    processor asked to try again, 0 for none. load: what the exchange reported.
     """
 
     call: int
@@ -88,21 +107,21 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerLeft:
-    """The caller gave up."""
+    """The caller gave up before the call was set up."""
 
     call: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerDue:
-    """A timer set earlier came due."""
+    """The timer that `SetTimer` set with this token has expired."""
 
     token: str
 
 
 @dataclass(slots=True, frozen=True)
 class Reported:
-    """Circuits of an own group, and the far processor's figures if it was asked."""
+    """Circuits of the trunk group to an exchange, and the load of its processor where that was asked for."""
 
     exchange: str
     result: str
@@ -115,7 +134,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetUp:
-    """Start a route try."""
+    """Starts a route try: sends a set-up to `exchange`, which has to answer within `patience`."""
 
     call: int
     exchange: str
@@ -124,7 +143,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Block:
-    """Final answer: blocked; come_back 0 gives no advice."""
+    """Final answer: blocked. `come_back`: the caller should retry after this time; 0: no advice."""
 
     call: int
     come_back: int = 0
@@ -132,14 +151,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Abort:
-    """Final answer: aborted."""
+    """Final answer: aborted, as a route try may have been executed."""
 
     call: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for TimerDue at or after `at`."""
+    """Asks for a `TimerDue` at or after `at`."""
 
     at: int
     token: str
@@ -147,12 +166,12 @@
 
 @dataclass(slots=True, frozen=True)
 class FollowList:
-    """Ask for changes of the exchange list from now on."""
+    """Asks for the changes of the exchange list from now on."""
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for on-call staff."""
+    """A log line for operators."""
 
     text: str
 
