--- a/peattrestle/__main__.py
+++ b/peattrestle/__main__.py
@@ -1,4 +1,4 @@
-"""python -m peattrestle"""
+"""Entry point of `python -m peattrestle`."""
 
 from peattrestle.cli.main import main
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Known failures: tests listed in KNOWN-RED.txt are passed over and printed; `--known-red` runs them."""
+"""Deselects and prints the known failures that KNOWN-RED.txt lists; `--known-red` runs them too."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def known_red() -> list[str]:
-    """The exact ids of the listed tests."""
+    """Ids of the listed tests, from the lines that start with 'test: '."""
     if not KNOWN_RED.exists():
         return []
-    rows = KNOWN_RED.read_text().splitlines()
-    return [row.removeprefix(PREFIX).strip() for row in rows if row.startswith(PREFIX)]
+    lines = KNOWN_RED.read_text().splitlines()
+    return [line.removeprefix(PREFIX).strip() for line in lines if line.startswith(PREFIX)]
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
@@ -26,10 +26,10 @@
     if config.getoption("--known-red"):
         return
     listed = set(known_red())
-    passed_over = [item for item in items if item.nodeid in listed]
-    if passed_over:
+    deselected = [item for item in items if item.nodeid in listed]
+    if deselected:
         items[:] = [item for item in items if item.nodeid not in listed]
-        config.hook.pytest_deselected(items=passed_over)
+        config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
