--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -1,22 +1,29 @@
-"""Every decision of peattrestle: which way a call is set up, and whether it is set up at all.
-
-Callers make one `Controller(seed, settings)` for each call agent and hand it each batch of events with
-`handle(now, events)`, which returns the actions in order. The types of both are in `interface.py`. Settings
-are a flat map of names to values ('gos_target:NAME' is that of one bearer type); times are nanoseconds.
-
-The ordinary path is the design's (docs/design.md): direct while the own group has room, else up to two
-tandems by rising score with a leg margin. Beside it stand these mechanisms, six at most:
-
-1. cold budget: an exchange that has just started gets no more than this agent's share of what fells it;
-2. window: set-ups out to an exchange that answers late, full or not at all are kept few, by chance; so are
-   all set-ups from here while many answers are late;
-3. tandem pause: a tandem that has no room to a destination gets no call for there for a span or more;
-4. overflow brake: as answers get late or missing, fewer calls overflow to tandems, and none blindly;
-5. early time-out: while set-ups get lost, an unanswered one is given up in time for one more try;
-6. called-number gap: calls to a number whose lines are all busy are turned away for a while.
-
-Each exchange is an actor with an inbox, the own one too; `Home` keeps the calls. To set a call up, Home
-offers it by notes to the own exchange, to the destination and to a tandem in turn; each takes or declines.
+"""Routing and admission decisions of a call agent: whether a call is set up, and over which route.
+
+A call agent creates one `Controller(seed, settings)` and passes each batch of events to its `handle(now,
+events)`, which returns the resulting actions in order; `interface.py` defines the types of both. Settings are
+a flat mapping from names to values ('gos_target:NAME' holds the value for one bearer type). Times are
+nanoseconds.
+
+A call takes the direct trunk group while that has free circuits, else one of at most two tandems by rising
+route score; some circuits of the group to a tandem stay reserved for direct calls (docs/design.md). Beside
+this ordinary routing there are at most six overload controls:
+
+1. cold budget: an exchange that has just started gets no more set-ups than this agent's share of the rate
+   that would overload it;
+2. window: the outstanding set-ups to an exchange that answers late, reports a full processor or does not
+   answer are limited, with random admission at the limit; so are all outstanding set-ups of this agent while
+   many answers are late;
+3. tandem pause: a tandem that had no free circuits to a destination gets no call for that destination for
+   one statistics window or longer;
+4. overflow brake: as answers get late or missing, fewer calls overflow to tandems, and none to a tandem that
+   is not known to reach the destination;
+5. early time-out: while set-ups are being lost, an unanswered one is abandoned in time for one more try;
+6. call gapping: calls to a number whose lines are all busy are refused for a while.
+
+Each exchange, the own one included, is an actor with an inbox; `Home` holds the calls. To set a call
+up, `Home` asks the own exchange, the destination and a tandem in turn for admission; each admits the
+call or refuses it.
 """
 
 from __future__ import annotations
@@ -30,205 +37,231 @@
 from peattrestle import interface as api
 from peattrestle.storms.sight import RequestKey, Seen, Sight
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # nanoseconds
 
-# The design page's starting values, all marked there as ours and open.
-SLOT = SECOND
-SPAN_SLOTS = 10
-FEWEST_SETUPS = 5
-WARNING, CRITICAL = 1, 10
-ANSWER_RATIO_WARNING, ANSWER_RATIO_CRITICAL = 0.8, 0.5
-DELAY_WARNING, DELAY_CRITICAL = SECOND, 3 * SECOND
-ANSWER_RATIO_WEIGHT = DELAY_WEIGHT = 1
-MOST_TANDEMS = 2
-LEG_MARGIN = 2
+# Route scores (docs/design.md).
+SLOT = SECOND  # ns, sampling interval
+WINDOW_SLOTS = 10  # slots in the statistics window
+MIN_SETUPS_FOR_SCORE = 5
+WARNING_SCORE, CRITICAL_SCORE = 1, 10  # score points
+ANSWER_RATIO_WARNING, ANSWER_RATIO_CRITICAL = 0.8, 0.5  # fraction of set-ups that are answered
+DELAY_WARNING, DELAY_CRITICAL = SECOND, 3 * SECOND  # ns, mean set-up delay
+ANSWER_RATIO_WEIGHT = DELAY_WEIGHT = 1  # factors of the score points
+MAX_TANDEM_TRIES = 2  # per call
+MIN_RESERVED_CIRCUITS = 2  # per trunk group to a tandem, beyond the width of the call
 
-HALVE_EVERY = 4 * SECOND  # what is measured beside the design fades by half in this time
+HALF_LIFE = 4 * SECOND  # ns in which the statistics other than route scores lose half their weight
 
 
 @dataclass(slots=True)
-class Offer:
-    """Home asks an exchange to let a call through; `role` is 'own', 'destination' or 'tandem'."""
+class AdmissionRequest:
+    """Asks an exchange to admit a call; `role` is 'own', 'destination' or 'tandem'."""
 
     call: Call
     role: str
 
 
 @dataclass(slots=True)
-class Answer:
-    """The exchange lets the call through, or does not."""
+class AdmissionResponse:
+    """An exchange's answer to an `AdmissionRequest`."""
 
-    offer: Offer
+    request: AdmissionRequest
     exchange: Exchange
-    taken: bool
+    admitted: bool
 
 
 @dataclass(slots=True)
-class Sent:
-    """A set-up went out to this exchange (`out`), or starts here, or leads on to here."""
+class SetUpSent:
+    """A set-up was sent that this exchange has to process.
+
+    `is_outstanding`: it counts in the exchange's window, as it was sent to this exchange or starts at it; not
+    so where this exchange is only the destination behind a tandem.
+    """
 
-    out: bool
+    is_outstanding: bool
 
 
 @dataclass(slots=True)
-class Settled:
-    """A set-up there stands or has ended; `how`: 'stood', 'pressed', 'missed', 'down', or '' tells nothing.
+class SetUpFinished:
+    """A set-up sent to or through this exchange was answered or has ended.
 
-    It is `elsewhere` where another exchange's set-up told of this one.
+    outcome: 'answered', 'overloaded' (full processor), 'unanswered', 'unreachable' (the connection failed) or
+    '', which says nothing about the exchange's load.
+    elapsed: nanoseconds from sending until then, where the outcome is 'answered' or 'unanswered'.
+    sent_elsewhere: the set-up was sent to another exchange and does not count in this one's window.
     """
 
-    how: str = ""
-    waited: int = 0
-    elsewhere: bool = False
+    outcome: str = ""
+    elapsed: int = 0
+    sent_elsewhere: bool = False
 
 
-Note = Offer | Answer | Sent | Settled | api.Entry | api.Event
+Message = AdmissionRequest | AdmissionResponse | SetUpSent | SetUpFinished | api.Entry | api.Event
 
 
 class Actor:
-    """Something with an inbox; only the loop empties it."""
+    """Handles the messages of its inbox one at a time, as the loop delivers them."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
-        self.inbox: deque[Note] = deque()
+        self.inbox: deque[Message] = deque()
 
-    def receive(self, note: Note) -> None:
+    def receive(self, message: Message) -> None:
         raise NotImplementedError
 
 
 class Loop:
-    """Delivers notes in the order they were put; also what all actors share: clock, chance, actions."""
+    """Delivers messages in the order they were posted.
+
+    Holds what all actors share: settings, clock, random numbers and the resulting actions.
+    """
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
         self.settings = settings
-        self.now = 0
+        self.now = 0  # ns, time of the events being handled
         self.actions: list[api.Action] = []
-        self._state = seed & 0xFFFFFFFFFFFFFFFF
-        self._waiting: deque[Actor] = deque()
-        self._log_at = 0
+        self._random_state = seed & 0xFFFFFFFFFFFFFFFF
+        self._pending: deque[Actor] = deque()  # one entry for each message not yet delivered
+        self._next_log_at = 0
 
-    def put(self, actor: Actor, note: Note) -> None:
-        actor.inbox.append(note)
-        self._waiting.append(actor)
+    def post(self, actor: Actor, message: Message) -> None:
+        actor.inbox.append(message)
+        self._pending.append(actor)
 
     def run(self) -> None:
-        while self._waiting:
-            actor = self._waiting.popleft()
+        """Delivers messages until none is left."""
+        while self._pending:
+            actor = self._pending.popleft()
             actor.receive(actor.inbox.popleft())
 
     def log(self, text: str) -> None:
-        if self.now >= self._log_at:  # where many are in trouble, one line a span tells as much as all
-            self._log_at = self.now + SPAN_SLOTS * SLOT
+        """Logs at most one line per statistics window: in a wide overload further lines would add nothing."""
+        if self.now >= self._next_log_at:
+            self._next_log_at = self.now + WINDOW_SLOTS * SLOT
             self.actions.append(api.Log(text))
 
-    def chance(self) -> float:
-        """Knuth's MMIX generator; the low bits of such a generator repeat soon, so the high ones are used."""
-        self._state = (self._state * 6364136223846793005 + 1442695040888963407) & 0xFFFFFFFFFFFFFFFF
-        return (self._state >> 40) / (1 << 24)
+    def random(self) -> float:
+        """Random number in [0, 1) from Knuth's MMIX linear congruential generator.
+
+        The low bits of such a generator have short periods, so only the high ones are used.
+        """
+        self._random_state = (
+            self._random_state * 6364136223846793005 + 1442695040888963407
+        ) & 0xFFFFFFFFFFFFFFFF
+        return (self._random_state >> 40) / (1 << 24)
 
 
 @dataclass(slots=True)
 class Slot:
-    """One sampling interval of the design's statistics for a destination and route."""
+    """Set-ups of one sampling interval; `delay` is the sum of their delays in nanoseconds."""
 
     index: int
     setups: int = 0
-    stood: int = 0
+    answered: int = 0
     delay: int = 0
 
 
-class RouteRecord:
-    """Answer ratio and set-up delay of one destination and route over the design's span."""
+class RouteStatistics:
+    """Answer ratio and set-up delay of one destination and route over the statistics window."""
 
-    __slots__ = ("slots", "paused_until", "turned_back", "reaches")
+    __slots__ = ("slots", "paused_until", "pauses_without_answer", "has_reached_destination")
 
     def __init__(self) -> None:
         self.slots: deque[Slot] = deque()
         self.paused_until = 0
-        self.turned_back = 0
-        self.reaches = False
+        self.pauses_without_answer = 0
+        self.has_reached_destination = False
 
-    def note(self, now: int, stood: bool, delay: int) -> None:
+    def add(self, now: int, answered: bool, delay: int) -> None:
+        """Counts a set-up that ended at `now` after `delay`, both in nanoseconds."""
         index = now // SLOT
-        self.rotate(index)
+        self.drop_old_slots(index)
         if not self.slots or self.slots[-1].index != index:
             self.slots.append(Slot(index))
         slot = self.slots[-1]
         slot.setups += 1
-        slot.stood += stood
+        slot.answered += answered
         slot.delay += delay
-        self.reaches |= stood
-        self.turned_back *= not stood
+        self.has_reached_destination |= answered
+        self.pauses_without_answer *= not answered
 
     def pause(self, now: int) -> None:
-        """Guards against tandems without a way on: only the calls they turn back tell of their groups.
+        """Keeps calls for this destination away from a tandem that has no free circuits to it.
 
-        Few set-ups fall to one destination and tandem: the five that a score needs would come too late.
-        One that never set a call up to there may have no group at all, so it waits longer each time.
+        The trunk groups of a tandem are not visible here; only the calls it turns back show that they are
+        full. Set-ups for one destination and tandem are few, so the five that a score needs would come too
+        late. A tandem that has never reached the destination may have no group to it at all, so each of its
+        pauses is twice as long as the one before, up to 32 statistics windows.
         """
-        self.paused_until = now + SPAN_SLOTS * SLOT * 2 ** min(self.turned_back, 5)
-        self.turned_back += not self.reaches
+        self.paused_until = now + WINDOW_SLOTS * SLOT * 2 ** min(self.pauses_without_answer, 5)
+        self.pauses_without_answer += not self.has_reached_destination
 
-    def rotate(self, index: int) -> None:
-        while self.slots and self.slots[0].index <= index - SPAN_SLOTS:
+    def drop_old_slots(self, index: int) -> None:
+        while self.slots and self.slots[0].index <= index - WINDOW_SLOTS:
             self.slots.popleft()
 
     def score(self, now: int) -> int:
-        self.rotate(now // SLOT)
+        """Score points for a low answer ratio and a long set-up delay; 0 while there are too few set-ups."""
+        self.drop_old_slots(now // SLOT)
         setups = sum(slot.setups for slot in self.slots)
-        if setups < FEWEST_SETUPS:
+        if setups < MIN_SETUPS_FOR_SCORE:
             return 0
-        ratio = sum(slot.stood for slot in self.slots) / setups
+        ratio = sum(slot.answered for slot in self.slots) / setups
         delay = sum(slot.delay for slot in self.slots) / setups
         score = 0
         if ratio < ANSWER_RATIO_WARNING:
-            score += ANSWER_RATIO_WEIGHT * (CRITICAL if ratio < ANSWER_RATIO_CRITICAL else WARNING)
+            score += ANSWER_RATIO_WEIGHT * (
+                CRITICAL_SCORE if ratio < ANSWER_RATIO_CRITICAL else WARNING_SCORE
+            )
         if delay > DELAY_WARNING:
-            score += DELAY_WEIGHT * (CRITICAL if delay > DELAY_CRITICAL else WARNING)
+            score += DELAY_WEIGHT * (CRITICAL_SCORE if delay > DELAY_CRITICAL else WARNING_SCORE)
         return score
 
 
 class DelayHistogram:
-    """Set-up delays at one exchange, in shares of the GoS target, halved so that old ones fade."""
+    """Set-up delays as fractions of the GoS target; the weights are halved every `HALF_LIFE`."""
 
-    EDGES = (0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.75, 1.0)
-    FEWEST = 3.0
+    EDGES = (0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.75, 1.0)  # fractions of the GoS target
+    MIN_WEIGHT = 3.0  # set-ups
 
-    __slots__ = ("bins", "halve_at")
+    __slots__ = ("bins", "next_halving_at")
 
     def __init__(self) -> None:
         self.bins = [0.0] * (len(self.EDGES) + 1)
-        self.halve_at = 0
+        self.next_halving_at = 0
+
+    def add(self, now: int, fraction: float) -> None:
+        if now >= self.next_halving_at:
+            self.bins = [weight / 2 for weight in self.bins]
+            self.next_halving_at = now + HALF_LIFE
+        self.bins[bisect_left(self.EDGES, fraction)] += 1
 
-    def note(self, now: int, share: float) -> None:
-        if now >= self.halve_at:
-            self.bins = [one / 2 for one in self.bins]
-            self.halve_at = now + HALVE_EVERY
-        self.bins[bisect_left(self.EDGES, share)] += 1
+    def weight_above(self, fraction: float) -> float:
+        return sum(self.bins[bisect_left(self.EDGES, fraction) + 1 :])
 
-    def above(self, share: float) -> float:
-        return sum(self.bins[bisect_left(self.EDGES, share) + 1 :])
+    def quantile(self, probability: float) -> float:
+        """Upper edge of the bin that holds the quantile.
 
-    def quantile(self, part: float) -> float:
-        """The upper edge of the bin that the part falls in; above the last edge, or of too few: infinite."""
+        Infinite where that is the last bin, or where the histogram holds too few set-ups.
+        """
         total, below = sum(self.bins), 0.0
         for edge, weight in zip(self.EDGES, self.bins, strict=False):
             below += weight
-            if below >= part * max(total, self.FEWEST):
+            if below >= probability * max(total, self.MIN_WEIGHT):
                 return edge
         return inf
 
 
 class Exchange(Actor):
-    """What is known of one exchange, and whether a call may be sent through it now."""
+    """State and estimated load of one exchange; decides whether a call may be set up through it now."""
 
-    WINDOW_START = 4.0  # enough to begin with; a few answers in time widen it
-    WINDOW_LEAST = 0.05  # below 1 a call goes by this chance though none is out
-    REOPEN = 0.1  # of a window a second: with few calls nothing else would tell that it is over
-    CUT = 0.5
-    OWN_STEP = 0.05  # of the own window, which holds all set-ups from here, at each answer
-    CUT_EVERY = SECOND // 2  # what was sent before a cut says nothing about the cut
-    SOON = 0.9  # share of the answered set-ups that must have come soon, by twice, to give up early
+    INITIAL_WINDOW = 4.0  # set-ups; a few answers in time widen it
+    MIN_WINDOW = 0.05  # set-ups; below 1, a call is admitted with this probability while none is outstanding
+    WINDOW_RECOVERY = 0.1  # set-ups per second; with few calls no answer would show that the overload is over
+    WINDOW_DECREASE = 0.5  # factor
+    OWN_WINDOW_STEP = 0.05  # fraction of the own window, which limits all set-ups of this agent, per answer
+    MIN_DECREASE_INTERVAL = SECOND // 2  # ns; set-ups sent before a decrease do not show its effect
+    EARLY_TIMEOUT_QUANTILE = 0.9  # an early time-out is at least twice this quantile of the set-up delay
 
     def __init__(self, loop: Loop, home: Home, name: str) -> None:
         super().__init__(loop)
@@ -237,340 +270,404 @@
         self.number = -1
         self.state = "gone"
         self.cold_until = 0
-        self.told_at, self.phase = 0, 0.0  # where in its window the agent starts
-        self.free, self.size = 0, -1
-        self.sent: deque[int] = deque()
-        self.out, self.window = 0, self.WINDOW_START
-        self.cut_at = self.heard_at = 0
+        self.start_known_at, self.budget_phase = 0, 0.0  # see has_cold_budget
+        self.free_circuits, self.group_size = 0, -1  # of the own trunk group to it; size -1: not known
+        self.cold_setups: deque[int] = deque()  # times at which set-ups were sent during the cold time
+        self.out, self.window = 0, self.INITIAL_WINDOW  # set-ups outstanding, and their limit
+        self.window_fixed_until = self.answered_in_time_at = 0
         self.delays = DelayHistogram()
 
-    def receive(self, note: Note) -> None:
-        match note:
-            case Offer():
-                self.loop.put(self.home, Answer(note, self, self.lets(note)))
-            case Sent(out):
-                self.out += out
+    def receive(self, message: Message) -> None:
+        match message:
+            case AdmissionRequest():
+                self.loop.post(self.home, AdmissionResponse(message, self, self.admits(message)))
+            case SetUpSent(is_outstanding):
+                self.out += is_outstanding
                 if self.loop.now < self.cold_until:
-                    self.sent.append(self.loop.now)
-            case Settled():
-                self.out -= not note.elsewhere
-                self.judge(note)
+                    self.cold_setups.append(self.loop.now)
+            case SetUpFinished():
+                self.out -= not message.sent_elsewhere
+                self.update_window(message)
             case api.Entry():
-                self.told(note)
+                self.told(message)
             case api.Reported() | api.TryEnded():
-                self.free = int(note.load.get("free", self.free))
-                self.size = int(note.load.get("size", self.size))
-                self.home.able = max(self.home.able, note.load.get("rate", 0.0))
+                self.free_circuits = int(message.load.get("free", self.free_circuits))
+                self.group_size = int(message.load.get("size", self.group_size))
+                self.home.max_setup_rate = max(self.home.max_setup_rate, message.load.get("rate", 0.0))
 
     def told(self, entry: api.Entry) -> None:
+        """Applies this exchange's entry of the exchange list."""
         if self.number < 0 and entry.number == self.home.own_number:
-            self.window = 2 * self.WINDOW_START  # restarted in a storm it must not be the burst
+            self.window = 2 * self.INITIAL_WINDOW  # a restart during a storm must not add a burst
         self.number, self.state = entry.number, entry.state
         cold_until = entry.started_at + self.loop.settings.get("cold_time", 0) if entry.started_at else 0
         if cold_until > self.cold_until:
             self.cold_until = cold_until
-            self.told_at, self.phase = self.loop.now, self.loop.chance()
+            self.start_known_at, self.budget_phase = self.loop.now, self.loop.random()
+
+    def update_window(self, finished: SetUpFinished) -> None:
+        """Additive increase by one set-up per window of answers in time; multiplicative decrease on overload.
 
-    def judge(self, note: Settled) -> None:
-        """The window grows by one for each windowful in time; it shrinks by a share, once for each queue."""
+        A queue at the exchange delays many set-ups, so there is one decrease per `MIN_DECREASE_INTERVAL`.
+        """
         now = self.loop.now
-        in_time = note.how == "stood" and note.waited <= self.home.late
+        in_time = finished.outcome == "answered" and finished.elapsed <= self.home.late_after
         if self.number == self.home.own_number:
-            # Guards against a network that stays jammed by its callers' repeats when what jammed it is over.
+            # Guards against a metastable overload: callers' repeats keep the network overloaded after its
+            # cause has gone.
             if in_time:
-                self.window = min(self.home.window_most(1), self.window * (1 + self.OWN_STEP))
-            elif note.how in ("stood", "missed") and self.home.strain(0.25) > self.home.STRAIN_MOST:
-                self.window = max(1.0, min(self.window, self.out + 1) * (1 - self.OWN_STEP))
+                self.window = min(self.home.max_window(1), self.window * (1 + self.OWN_WINDOW_STEP))
+            elif (
+                finished.outcome in ("answered", "unanswered")
+                and self.home.late_share(0.25) > self.home.MAX_LATE_SHARE
+            ):
+                self.window = max(1.0, min(self.window, self.out + 1) * (1 - self.OWN_WINDOW_STEP))
             return
-        if note.how == "stood":
-            self.delays.note(now, note.waited / self.home.target)
+        if finished.outcome == "answered":
+            self.delays.add(now, finished.elapsed / self.home.target)
         if in_time:
-            self.heard_at = now
-            most = self.home.window_most(self.home.peers)
-            self.window = min(most, self.window + min(self.window, 1 / self.window))
-        elif note.how == "missed" and now - note.waited < self.heard_at:
-            pass  # lost alone, or the exchange would not have answered later set-ups in time
-        elif note.how == "down":
-            self.window = self.WINDOW_LEAST  # nothing listens there, whatever the list still says
-            self.cut_at = now + self.CUT_EVERY
-        elif note.how and now >= self.cut_at:
-            self.window = max(self.WINDOW_LEAST, self.window * self.CUT)
-            self.cut_at = now + self.CUT_EVERY
-            self.loop.log(f"exchange {self.number}: pressed")
-
-    def lets(self, offer: Offer) -> bool:
-        own = offer.role == "own"  # it may drain or lag: its callers have no other, and nothing is sent to it
-        if (not own and self.state != "ready") or self.pressed(offer.call):
+            self.answered_in_time_at = now
+            max_window = self.home.max_window(self.home.peer_agents)
+            self.window = min(max_window, self.window + min(self.window, 1 / self.window))
+        elif finished.outcome == "unanswered" and now - finished.elapsed < self.answered_in_time_at:
+            pass  # only this message was lost: the exchange has answered in time since it was sent
+        elif finished.outcome == "unreachable":
+            self.window = self.MIN_WINDOW  # nothing listens there, even if the list still says 'ready'
+            self.window_fixed_until = now + self.MIN_DECREASE_INTERVAL
+        elif finished.outcome and now >= self.window_fixed_until:
+            self.window = max(self.MIN_WINDOW, self.window * self.WINDOW_DECREASE)
+            self.window_fixed_until = now + self.MIN_DECREASE_INTERVAL
+            self.loop.log(
+                f"exchange {self.number}: pressed (late, full or no answer), window {self.window:.2f} set-ups"
+            )
+
+    def admits(self, request: AdmissionRequest) -> bool:
+        # The own exchange is admitted in any state, also where the list is late: its callers have no other,
+        # and nothing is sent to it.
+        own = request.role == "own"
+        if (not own and self.state != "ready") or self.exceeds_window(request.call):
             return False
-        return self.loop.now >= self.cold_until or self.cold_room(own)
+        return self.loop.now >= self.cold_until or self.has_cold_budget(own)
 
-    def patience(self) -> int:
-        """Guards against set-ups that get lost: where nearly all stand soon, the rest are not waited for.
+    def early_timeout(self) -> int:
+        """Nanoseconds after which an unanswered set-up counts as lost; 0: no early time-out.
 
-        The GoS target must hold the release time and a second try too; a slow exchange is waited for.
+        Guards against lost set-ups: where nearly all are answered soon, one that is not was probably lost.
+        The GoS target must leave time for the release and a second try; a slow exchange gets no early
+        time-out.
         """
         target = self.home.target
-        few = sum(self.delays.bins) < DelayHistogram.FEWEST  # then what is common to all stands in
-        most = min(1.0, (self.home if few else self).delays.quantile(self.SOON)) * target
-        patience = target - self.loop.settings.get("release_time", 0) - most
-        return int(patience) if patience >= 2 * most else 0
+        few = sum(self.delays.bins) < DelayHistogram.MIN_WEIGHT  # then the delays of all exchanges are used
+        usual_delay = (
+            min(1.0, (self.home if few else self).delays.quantile(self.EARLY_TIMEOUT_QUANTILE)) * target
+        )
+        timeout = target - self.loop.settings.get("release_time", 0) - usual_delay
+        return int(timeout) if timeout >= 2 * usual_delay else 0
+
+    def has_free_circuits(self, circuits: int) -> bool:
+        """Whether the trunk group to this exchange has that many free circuits.
 
-    def has_room(self, circuits: int) -> bool:
-        """A group nothing is known of yet is tried: the wire turns a set-up without circuits back unsent."""
+        True where nothing is known of the group yet: a set-up without circuits comes back without being sent.
+        """
         own = self.number == self.home.own_number
-        return self.state == "ready" and not own and (self.size < 0 or self.free >= circuits)
+        return self.state == "ready" and not own and (self.group_size < 0 or self.free_circuits >= circuits)
 
-    def cold_room(self, own: bool) -> bool:
-        """Guards rule 4: all agents may take the same step at once, so each keeps to its part of the budget.
+    def has_cold_budget(self, own: bool) -> bool:
+        """Whether this agent may send one more set-up to an exchange that is still cold (rule 4).
 
-        Every call has two ends, so half of an exchange's set-ups start there: that half is for its own agent.
-        How it warms is told only for start and end, so half of a steady growth is counted on.
+        All agents may react to the same event at once, so each keeps to its share of the budget. Every call
+        has two ends, so half of an exchange's set-ups start there: that half is for the exchange's own agent.
+        The capacity is known only for the start and the end of the cold time, so half of a linear growth
+        between them is assumed.
         """
         get = self.loop.settings.get
-        rate = self.home.circuits / self.home.holding
-        if self.home.able:  # groups may be larger than what the processors behind them can set up
-            rate = min(rate, self.home.able / SECOND)
+        rate = self.home.circuits / self.home.holding_time
+        if self.home.max_setup_rate:  # trunk groups may carry more than the processors behind them can set up
+            rate = min(rate, self.home.max_setup_rate / SECOND)
         carried = rate * get("fall_time", 0)
-        least, left = get("cold_from", 1), (self.cold_until - self.loop.now) / max(1, get("cold_time", 0))
-        budget: float = get("fall_multiple", 1) * (least + (1 - least) / 2 * (1 - left)) * carried / 2
-        share = max(0.01, budget if own else budget / self.home.peers)
-        window: float = get("fall_time", 0) / min(1.0, share)  # under one: one in longer
-        while self.sent and self.sent[0] <= self.loop.now - window:
-            self.sent.popleft()
-        # Many agents are told together, and restarted ones forget: a first one each would be a burst.
-        before = self.told_at - window * self.phase > self.loop.now - window
-        return len(self.sent) + before < max(1, int(share))
-
-    def pressed(self, call: Call) -> bool:
-        """Guards against a processor that is slow, swamped, silent or cut off, whatever the cause.
-
-        Set-ups not yet answered are all that every agent can see of each; those of all agents together are
-        the queue there. Cheaper calls get a smaller part of the window, so they are turned away more often.
+        initial, remaining = (
+            get("cold_from", 1),
+            (self.cold_until - self.loop.now) / max(1, get("cold_time", 0)),
+        )
+        budget: float = (
+            get("fall_multiple", 1) * (initial + (1 - initial) / 2 * (1 - remaining)) * carried / 2
+        )
+        share = max(0.01, budget if own else budget / self.home.peer_agents)
+        window: float = get("fall_time", 0) / min(1.0, share)  # a share below 1: one set-up in a longer time
+        while self.cold_setups and self.cold_setups[0] <= self.loop.now - window:
+            self.cold_setups.popleft()
+        # Many agents learn of a start at once, and a restarted agent does not remember its set-ups. If each
+        # sent its first one at once, that would be a burst: so each assumes one at a random time (drawn as
+        # `budget_phase`) in the window before it learned of the start.
+        assumed = self.start_known_at - window * self.budget_phase > self.loop.now - window
+        return len(self.cold_setups) + assumed < max(1, int(share))
+
+    def exceeds_window(self, call: Call) -> bool:
+        """Guards against a processor that is slow, overloaded, silent or cut off, whatever the cause.
+
+        The outstanding set-ups are what each agent can see of every exchange; those of all agents together
+        are the queue there. Calls of less revenue get a smaller part of the window, so they are refused more
+        often. The decision is random where the call would exceed the window by less than one set-up.
         """
-        if self.window < 1 and self.loop.now > self.cut_at:
-            self.window = min(1.0, self.window + self.REOPEN * (self.loop.now - self.cut_at) / SECOND)
-            self.cut_at = self.loop.now
-        worth = self.home.worth(call.asked, call.seen)
-        over = self.out + 1 - self.window * worth
-        return over > 0 and self.loop.chance() < over
+        if self.window < 1 and self.loop.now > self.window_fixed_until:
+            self.window = min(
+                1.0, self.window + self.WINDOW_RECOVERY * (self.loop.now - self.window_fixed_until) / SECOND
+            )
+            self.window_fixed_until = self.loop.now
+        revenue = self.home.worth(call.arrival, call.attempt)
+        excess = self.out + 1 - self.window * revenue
+        return excess > 0 and self.loop.random() < excess
 
 
 @dataclass(slots=True)
 class Call:
-    """A call this agent answers for; the only keeper of what may still be sent or said for it."""
+    """A call this agent has to answer, with the state of its route tries."""
 
-    asked: api.CallArrived
-    arrived: int
+    arrival: api.CallArrived
+    arrived_at: int
     destination: Exchange
-    seen: Seen | None = None  # first or further try of its caller; None in transit
-    routes: deque[Exchange] = field(default_factory=deque)
-    out: Exchange | None = None  # the exchange that the one route try is out to
+    attempt: Seen | None = None  # first or further try of its caller; None in transit
+    routes: deque[Exchange] = field(default_factory=deque)  # still to be tried, in order
+    pending_route: Exchange | None = None  # where the one route try in progress was sent
     tries: int = 0
-    release_at: int = 0  # rule 5: no send before this
-    may_have_run: bool = False  # rule 2 for bearer types that are not safe to repeat
+    release_at: int = 0  # nothing is sent before this time (rule 5)
+    may_have_run: bool = False  # rule 2, for bearer types that are not safe to repeat
     tandem_tries: int = 0
     sent_at: int = 0
-    unranked: bool = False  # its tandems are still to be ranked, should it come to them
-    braked: bool = False
+    needs_tandems: bool = False  # its tandems are ranked only once the routes before them are used up
+    is_braked: bool = False  # by the overflow brake
 
 
 class Home(Actor):
-    """The own exchange's side: calls, routes, the design's records; the one place that sends and answers."""
+    """The agent's calls and route statistics; the only place that sends set-ups and final answers."""
 
-    STRAIN_MOST = 0.25  # from this share of late answers on, no call overflows and the own window shrinks
-    FURTHER, FURTHER_MOST = 0.1, 10.0  # further route tries for each first one, and how many may be saved up
-    RETURNS = 0.2  # late callers come back at this share of the calls that stand
-    JITTER = 0.4  # of a third of the GoS target: what was turned away together comes back apart
-    GAP_FIRST, GAP_MOST = SECOND, 8 * SECOND  # a line comes free within about a holding time
+    MAX_LATE_SHARE = 0.25  # of answers; from it on no call overflows and the own window shrinks
+    FURTHER, MAX_RETRY_BUDGET = 0.1, 10.0  # further route tries earned by each first one, and the most kept
+    LATE_RETURN_SHARE = 0.2  # rate at which late callers return, as a fraction of the answered calls
+    RETRY_JITTER = 0.4  # fraction of a third of the GoS target; spreads callers that were refused together
+    MIN_GAP, MAX_GAP = SECOND, 8 * SECOND  # ns; a busy line comes free within about a holding time
 
     def __init__(self, loop: Loop) -> None:
         super().__init__(loop)
         get = loop.settings.get
         self.exchanges: dict[str, Exchange] = {}
-        self.numbers: dict[int, Exchange] = {}
-        self.able = 0.0  # most set-ups a second that any exchange has reported
-        self.circuits = 0  # in all own groups; over the holding time, what a like exchange carries
+        self.exchanges_by_number: dict[int, Exchange] = {}
+        self.max_setup_rate = 0.0  # set-ups per second, the highest that any exchange has reported
+        self.circuits = 0  # in all own groups; over the holding time, the rate that an equal exchange carries
         self.calls: dict[int, Call] = {}
-        self.records: dict[tuple[int, str], RouteRecord] = {}
-        self.untried = RouteRecord()
-        self.gaps: dict[str, tuple[int, int]] = {}  # number: until, length
+        self.statistics: dict[tuple[int, str], RouteStatistics] = {}  # by destination number and route name
+        self.empty_statistics = RouteStatistics()
+        self.gaps: dict[str, tuple[int, int]] = {}  # called number: end and length of its gap, in ns
         self.own_number: int = get("own_number", -1)
-        self.peers: int = max(1, get("agents", 1) - 1)
-        # Guards direct calls: with more tandems to choose from and thinner groups, no leg need give its last.
-        self.margin = max(LEG_MARGIN, int(get("agents", 1) ** 0.5))
-        self.pools: bool = get("topology", "mesh") == "pools"
+        self.peer_agents: int = max(1, get("agents", 1) - 1)
+        # Circuits kept for direct calls. With more agents there are more tandems to choose from and the
+        # groups are smaller, so no group has to give its last circuits to overflow.
+        self.reserved_circuits = max(MIN_RESERVED_CIRCUITS, int(get("agents", 1) ** 0.5))
+        self.uses_pools: bool = get("topology", "mesh") == "pools"
         types: tuple[str, ...] = get("bearer_types", ())
-        self.target = min((int(get(f"gos_target:{one}", SECOND)) for one in types), default=SECOND)
-        self.revenue = {one: float(get(f"revenue:{one}", 1.0)) for one in types}
+        # GoS target in ns, the shortest of all bearer types.
+        self.target = min((int(get(f"gos_target:{name}", SECOND)) for name in types), default=SECOND)
+        self.revenue = {name: float(get(f"revenue:{name}", 1.0)) for name in types}
         self.mean_revenue = sum(self.revenue.values()) / max(1, len(types)) or 1.0
-        self.further = self.FURTHER_MOST
-        self.slot_at = 0  # the last slot given to a caller who comes back late
-        self.late = min(self.target // 2, get("repeat_gap", 0) or self.target)  # a repeat sets up nothing
-        self.holding = max((int(get(f"holding:{one}", SECOND)) for one in types), default=SECOND)
+        self.retry_budget = self.MAX_RETRY_BUDGET
+        self.next_return_slot_at = 0
+        # Nanoseconds; a set-up message that is repeated after the gap costs work and sets up no further call.
+        self.late_after = min(self.target // 2, get("repeat_gap", 0) or self.target)
+        self.holding_time = max((int(get(f"holding:{name}", SECOND)) for name in types), default=SECOND)
         self.delays = DelayHistogram()
-        self.followed = False
-        self.lost, self.lost_halved_at = 0.0, 0
-        self.sight = Sight(max((int(get(f"abandon_time:{one}", SECOND)) for one in types), default=SECOND))
+        self.follows_list = False
+        self.lost_setups, self.lost_halved_at = 0.0, 0
+        self.retry_detector = Sight(
+            max((int(get(f"abandon_time:{name}", SECOND)) for name in types), default=SECOND)
+        )
 
-    def receive(self, note: Note) -> None:
-        match note:
+    def receive(self, message: Message) -> None:
+        match message:
             case api.CallArrived():
-                self.arrive(note)
-            case Answer():
-                self.answered(note)
+                self.arrive(message)
+            case AdmissionResponse():
+                self.handle_admission_response(message)
             case api.Stood():
-                self.stood(note)
+                self.handle_answer(message)
             case api.TryEnded():
-                self.try_ended(note)
+                self.handle_try_ended(message)
             case api.Reported():
-                self.figures(note)
+                self.update_circuits(message)
             case api.Listed():
-                self.listed(note)
+                self.handle_list(message)
             case api.TimerDue(token):
-                self.timer(token)
+                self.handle_timer(token)
             case api.CallerLeft():
-                if (gone := self.calls.pop(note.call, None)) is not None:
-                    self.unserved(gone.asked, gone.seen)
-                    if gone.out is not None:
-                        self.unanswered(gone.out, self.loop.now - gone.sent_at)
+                if (call := self.calls.pop(message.call, None)) is not None:
+                    self.remember_unserved(call.arrival, call.attempt)
+                    if call.pending_route is not None:
+                        self.handle_no_answer(call.pending_route, self.loop.now - call.sent_at)
 
-    def exchange(self, name: str) -> Exchange:
+    def get_exchange(self, name: str) -> Exchange:
         if name not in self.exchanges:
             self.exchanges[name] = Exchange(self.loop, self, name)
         return self.exchanges[name]
 
-    def listed(self, note: api.Listed) -> None:
-        for one in list(self.exchanges.values()):
-            if one.state == "gone" and self.numbers.get(one.number) is not one:  # its group is another's now
-                self.circuits -= max(0, self.exchanges.pop(one.name).size)
-        self.records = {key: kept for key, kept in self.records.items() if key[1] in self.exchanges}
-        if note.form in ("full", "cached"):
-            present = {entry.exchange for entry in note.entries}
-            for one in self.exchanges.values():
-                if one.name not in present:
-                    self.loop.put(one, api.Entry(one.name, one.number, "gone"))
-        for entry in note.entries:
-            one = self.exchange(entry.exchange)
-            if entry.state == "ready" or entry.number not in self.numbers:
-                self.numbers[entry.number] = one  # a replacement has the number of the exchange it replaces
-            self.loop.put(one, entry)
-        asks = self.loop.settings.get("discovery", "push") == "ask"
-        if asks and not self.followed:
-            self.followed = True
+    def handle_list(self, message: api.Listed) -> None:
+        for exchange in list(self.exchanges.values()):
+            # Drops an exchange that was replaced: its trunk group now belongs to the replacement.
+            if exchange.state == "gone" and self.exchanges_by_number.get(exchange.number) is not exchange:
+                self.circuits -= max(0, self.exchanges.pop(exchange.name).group_size)
+        self.statistics = {key: route for key, route in self.statistics.items() if key[1] in self.exchanges}
+        if message.form in ("full", "cached"):
+            present = {entry.exchange for entry in message.entries}
+            for exchange in self.exchanges.values():
+                if exchange.name not in present:
+                    self.loop.post(exchange, api.Entry(exchange.name, exchange.number, "gone"))
+        for entry in message.entries:
+            exchange = self.get_exchange(entry.exchange)
+            if entry.state == "ready" or entry.number not in self.exchanges_by_number:
+                self.exchanges_by_number[entry.number] = exchange  # a replacement takes over the number
+            self.loop.post(exchange, entry)
+        must_ask = self.loop.settings.get("discovery", "push") == "ask"
+        if must_ask and not self.follows_list:
+            self.follows_list = True
             self.loop.actions.append(api.FollowList())
-        elif asks and note.form == "failed":  # by chance: agents that failed together should not ask together
-            self.loop.actions.append(api.SetTimer(self.loop.now + int(self.loop.chance() * SECOND), "follow"))
+        elif must_ask and message.form == "failed":
+            # After a random delay: agents whose lists failed together should not all ask again at once.
+            self.loop.actions.append(api.SetTimer(self.loop.now + int(self.loop.random() * SECOND), "follow"))
 
-    def timer(self, token: str) -> None:
+    def handle_timer(self, token: str) -> None:
         if token == "follow":
             self.loop.actions.append(api.FollowList())
-        elif token.isdigit() and (call := self.calls.get(int(token))) is not None and call.out is None:
-            self.offer(call)
+        elif (
+            token.isdigit()
+            and (call := self.calls.get(int(token))) is not None
+            and call.pending_route is None
+        ):
+            self.request_admission(call)
 
     def worth(self, asked: api.CallArrived, seen: Seen | None) -> float:
-        """Of the mean revenue. Guards first calls against further tries that can no longer stand in time."""
+        """Expected revenue of the call, relative to the mean revenue.
+
+        Guards first tries against further tries that can no longer be answered within the GoS target.
+        """
         name, first_at = asked.bearer_type, seen.first_at if seen is not None else -1
         late = 0 <= first_at < self.loop.now - self.target
         share: float = self.loop.settings.get(f"late_revenue:{name}", 1.0) if late else 1.0
         return share * self.revenue.get(name, 1.0) / self.mean_revenue
 
-    def losses(self) -> float:
-        """Set-ups that got no answer lately, at any exchange; halved, so that old ones fade."""
-        halvings = (self.loop.now - self.lost_halved_at) // HALVE_EVERY
-        self.lost /= 2 ** min(halvings, 20)
-        self.lost_halved_at += halvings * HALVE_EVERY
-        return self.lost
-
-    def strain(self, missing_part: float) -> float:
-        """The share of late answers: none sees how busy the others are, but all its answers together tell."""
-        late, missing = self.delays.above(self.late / self.target), self.losses() * missing_part
-        return (late + missing) / max(DelayHistogram.FEWEST, sum(self.delays.bins) + missing)
-
-    def figures(self, note: api.Reported | api.TryEnded) -> None:
-        one = self.exchange(note.exchange)
-        self.circuits += max(0, int(note.load.get("size", one.size))) - max(0, one.size)
-        self.loop.put(one, note)
-
-    def window_most(self, agents: int) -> float:
-        """All agents' windows together: what an exchange like the own one sets up within the GoS target."""
-        return max(Exchange.WINDOW_START, self.circuits * self.target / self.holding / agents)
-
-    def record(self, destination: int, route: Exchange) -> RouteRecord:
-        return self.records.setdefault((destination, route.name), RouteRecord())
-
-    def arrive(self, asked: api.CallArrived) -> None:
-        destination = self.numbers.get(asked.destination)
-        until, _ = self.gaps.get(asked.number, (0, 0))
-        seen = (
+    def recent_losses(self) -> float:
+        """Set-ups at any exchange that got no answer; the count halves every `HALF_LIFE`."""
+        halvings = (self.loop.now - self.lost_halved_at) // HALF_LIFE
+        self.lost_setups /= 2 ** min(halvings, 20)
+        self.lost_halved_at += halvings * HALF_LIFE
+        return self.lost_setups
+
+    def late_share(self, loss_weight: float) -> float:
+        """Fraction of the set-ups whose answer was late or, counted with `loss_weight`, missing.
+
+        An agent cannot see how busy the other exchanges are; its answers from all of them together show it.
+        """
+        late, missing = (
+            self.delays.weight_above(self.late_after / self.target),
+            self.recent_losses() * loss_weight,
+        )
+        return (late + missing) / max(DelayHistogram.MIN_WEIGHT, sum(self.delays.bins) + missing)
+
+    def update_circuits(self, message: api.Reported | api.TryEnded) -> None:
+        exchange = self.get_exchange(message.exchange)
+        self.circuits += max(0, int(message.load.get("size", exchange.group_size))) - max(
+            0, exchange.group_size
+        )
+        self.loop.post(exchange, message)
+
+    def max_window(self, agents: int) -> float:
+        """An agent's part of the set-ups that an exchange like the own one handles within the GoS target."""
+        return max(Exchange.INITIAL_WINDOW, self.circuits * self.target / self.holding_time / agents)
+
+    def route_statistics(self, destination: int, route: Exchange) -> RouteStatistics:
+        return self.statistics.setdefault((destination, route.name), RouteStatistics())
+
+    def arrive(self, arrival: api.CallArrived) -> None:
+        """Refuses a new call at once, or starts to set it up."""
+        destination = self.exchanges_by_number.get(arrival.destination)
+        gap_until, _ = self.gaps.get(arrival.number, (0, 0))
+        attempt = (
             None
-            if asked.transit
-            else asked.seen
-            or self.sight.asked(self.loop.now, self.wanted(asked), asked.repeat, asked.cut_before)
+            if arrival.transit
+            else arrival.seen
+            or self.retry_detector.asked(
+                self.loop.now, self.request_key(arrival), arrival.repeat, arrival.cut_before
+            )
         )
-        if destination is None or asked.destination == self.own_number and asked.transit or asked.held:
-            # Nowhere to go, or over its gateway's share. Callers whose agent is away call here by a tandem.
-            self.refuse(asked, seen)
-        elif self.loop.now < until and not asked.transit:
-            self.refuse(asked, seen, until - self.loop.now)
+        if destination is None or arrival.destination == self.own_number and arrival.transit or arrival.held:
+            # No such exchange, or over its gateway's share. Callers whose own agent is away reach the own
+            # exchange over a tandem, but a call in transit does not go on from its destination.
+            self.refuse(arrival, attempt)
+        elif self.loop.now < gap_until and not arrival.transit:
+            self.refuse(arrival, attempt, gap_until - self.loop.now)
         else:
-            if asked.transit and (origin := self.numbers.get(asked.via)) is not None:
-                # That exchange has no room to the destination, or it would not have sent the call this way.
-                self.record(asked.destination, origin).pause(self.loop.now)
-            self.calls[asked.call] = Call(asked, self.loop.now, destination, seen)
-            self.offer(self.calls[asked.call])
+            if arrival.transit and (origin := self.exchanges_by_number.get(arrival.via)) is not None:
+                # The origin has no free circuits to the destination, or it would not have sent the call here.
+                self.route_statistics(arrival.destination, origin).pause(self.loop.now)
+            self.calls[arrival.call] = Call(arrival, self.loop.now, destination, attempt)
+            self.request_admission(self.calls[arrival.call])
 
     @staticmethod
-    def wanted(asked: api.CallArrived) -> RequestKey:
-        return asked.gateway or asked.customer, asked.bearer_type, asked.destination, asked.number
-
-    def offer(self, call: Call) -> None:
-        """The first question, also when a lost try is made again: may the call be set up at all?"""
-        own = self.numbers.get(self.own_number)
-        self.loop.put(own or call.destination, Offer(call, "own" if own else "destination"))
-
-    def answered(self, note: Answer) -> None:
-        call, role = note.offer.call, note.offer.role
-        if role == "own" and note.taken:
-            self.loop.put(call.destination, Offer(call, "destination"))
-        elif role == "tandem" and note.taken:
-            self.send(call, note.exchange)
+    def request_key(arrival: api.CallArrived) -> RequestKey:
+        return arrival.gateway or arrival.customer, arrival.bearer_type, arrival.destination, arrival.number
+
+    def request_admission(self, call: Call) -> None:
+        """First step of every try, also of the one that follows a lost try."""
+        own = self.exchanges_by_number.get(self.own_number)
+        self.loop.post(own or call.destination, AdmissionRequest(call, "own" if own else "destination"))
+
+    def handle_admission_response(self, response: AdmissionResponse) -> None:
+        call, role = response.request.call, response.request.role
+        if role == "own" and response.admitted:
+            self.loop.post(call.destination, AdmissionRequest(call, "destination"))
+        elif role == "tandem" and response.admitted:
+            self.send(call, response.exchange)
         elif role == "tandem":
-            self.next_route(call)
-        elif role == "destination" and (note.taken or self.pools):
+            self.try_next_route(call)
+        elif role == "destination" and (response.admitted or self.uses_pools):
             self.find_routes(call)
-            self.next_route(call)
+            self.try_next_route(call)
         else:
             self.block(call)
 
     def find_routes(self, call: Call) -> None:
-        """The design's order: direct, then tandems, which are ranked only when the call comes to them."""
-        if call.destination.has_room(call.asked.width):
+        """The direct route first, then tandems; these are ranked only when they are needed."""
+        if call.destination.has_free_circuits(call.arrival.width):
             call.routes.append(call.destination)
-        if call.asked.transit:
+        if call.arrival.transit:
             return
-        # Guards against a network tipped over by tandems: an overflowing call costs a third processor.
-        call.braked = not self.pools and self.loop.chance() < self.strain(1.0) / self.STRAIN_MOST
-        call.unranked = not call.braked or call.destination.size <= 0  # no group: the ordinary way
+        # Guards against overflow that overloads the whole network: a tandem call costs a third processor.
+        call.is_braked = (
+            not self.uses_pools and self.loop.random() < self.late_share(1.0) / self.MAX_LATE_SHARE
+        )
+        # Without a direct trunk group a tandem is the ordinary route.
+        call.needs_tandems = not call.is_braked or call.destination.group_size <= 0
 
     def rank_tandems(self, call: Call) -> None:
-        """By rising score, ties to the leg with most free. Looks at all exchanges; direct calls never do."""
-        call.unranked = False
-        key = f"pools:{call.asked.bearer_type}"
-        allowed = self.loop.settings.get(key, ()) if self.pools else self.numbers
-        ranked, circuits = [], call.asked.width + self.margin
-        for number, one in self.numbers.items():
-            if number not in allowed or one is call.destination or not one.has_room(circuits):
+        """By rising score, at equal scores those known to reach the destination, then most free circuits.
+
+        Looks at all exchanges, which a direct call must not cost.
+        """
+        call.needs_tandems = False
+        key = f"pools:{call.arrival.bearer_type}"
+        allowed = self.loop.settings.get(key, ()) if self.uses_pools else self.exchanges_by_number
+        ranked, circuits = [], call.arrival.width + self.reserved_circuits
+        for number, tandem in self.exchanges_by_number.items():
+            if number not in allowed or tandem is call.destination or not tandem.has_free_circuits(circuits):
                 continue
-            record = self.records.get((call.asked.destination, one.name), self.untried)
-            blind = not record.reaches and number != call.asked.via  # many have no group to there
-            if self.loop.now >= record.paused_until and not (blind and call.braked):
-                ranked.append((record.score(self.loop.now), blind, -one.free, number))
-        call.routes.extend(self.numbers[row[3]] for row in sorted(ranked))
-
-    def next_route(self, call: Call) -> None:
-        """Offers the call to its next route, or gives it up at once when there is none."""
+            statistics = self.statistics.get((call.arrival.destination, tandem.name), self.empty_statistics)
+            # Many tandems have no trunk group to the destination; `via` names one that should.
+            unproven = not statistics.has_reached_destination and number != call.arrival.via
+            if self.loop.now >= statistics.paused_until and not (unproven and call.is_braked):
+                ranked.append((statistics.score(self.loop.now), unproven, -tandem.free_circuits, number))
+        call.routes.extend(self.exchanges_by_number[row[3]] for row in sorted(ranked))
+
+    def try_next_route(self, call: Call) -> None:
+        """Starts the next route try, or blocks the call where no route is left."""
         while call.tries < self.loop.settings.get("route_try_limit", 1):
-            if not call.routes and call.unranked:
+            if not call.routes and call.needs_tandems:
                 self.rank_tandems(call)
             if not call.routes:
                 break
@@ -578,167 +675,208 @@
             if route is call.destination:
                 self.send(call, route)
                 return
-            if call.tandem_tries < MOST_TANDEMS and route.has_room(call.asked.width + self.margin):
-                self.loop.put(route, Offer(call, "tandem"))
+            if call.tandem_tries < MAX_TANDEM_TRIES and route.has_free_circuits(
+                call.arrival.width + self.reserved_circuits
+            ):
+                self.loop.post(route, AdmissionRequest(call, "tandem"))
                 return
         self.block(call)
 
     def last_send_at(self, call: Call) -> int:
-        """Nothing is sent for a call from then on: its answer would come too late."""
+        """Time from which nothing is sent for the call, as the answer would come after its abandon time."""
         step: int = self.loop.settings.get("step", 0)
-        return call.asked.abandon_at - 2 * step
+        return call.arrival.abandon_at - 2 * step
 
     def send(self, call: Call, route: Exchange) -> None:
-        """The only place that sends: one try out, none in the release time, none to a leaving exchange."""
+        """Sends a set-up, or blocks the call where none may be sent.
+
+        This is the only place that sends. There is one try at a time, none within the release time and none
+        to an exchange that is draining or gone.
+        """
         now = self.loop.now
         patience = self.last_send_at(call) - now
-        spent = call.tries > 0 and self.further < 1 and self.strain(1.0) > self.STRAIN_MOST / 5
-        if call.out is not None or now < call.release_at or route.state != "ready" or patience <= 0 or spent:
+        over_budget = (
+            call.tries > 0 and self.retry_budget < 1 and self.late_share(1.0) > self.MAX_LATE_SHARE / 5
+        )
+        if (
+            call.pending_route is not None
+            or now < call.release_at
+            or route.state != "ready"
+            or patience <= 0
+            or over_budget
+        ):
             self.block(call)
             return
-        self.further = min(self.FURTHER_MOST, self.further + (-1 if call.tries else self.FURTHER))
-        early = route.patience() if self.losses() >= 2 else 0  # one may be chance
-        if early > 0 and now + early + self.loop.settings.get("release_time", 0) < call.asked.abandon_at:
-            patience = min(patience, early)
-        call.out, call.sent_at = route, now
+        self.retry_budget = min(
+            self.MAX_RETRY_BUDGET, self.retry_budget + (-1 if call.tries else self.FURTHER)
+        )
+        early_timeout = route.early_timeout() if self.recent_losses() >= 2 else 0  # one may be chance
+        if (
+            early_timeout > 0
+            and now + early_timeout + self.loop.settings.get("release_time", 0) < call.arrival.abandon_at
+        ):
+            patience = min(patience, early_timeout)
+        call.pending_route, call.sent_at = route, now
         call.tries += 1
         if route is not call.destination:
             call.tandem_tries += 1
-        own = self.numbers.get(self.own_number, route)
-        for one in dict.fromkeys((route, own, call.destination)):  # all have work of it
-            self.loop.put(one, Sent(one in (route, own)))
-        self.loop.actions.append(api.SetUp(call.asked.call, route.name, patience))
+        own = self.exchanges_by_number.get(self.own_number, route)
+        for exchange in dict.fromkeys((route, own, call.destination)):  # each processes the set-up
+            self.loop.post(exchange, SetUpSent(exchange in (route, own)))
+        self.loop.actions.append(api.SetUp(call.arrival.call, route.name, patience))
 
     def block(self, call: Call) -> None:
-        """Gives a call up. A try that may have run must not be called blocked (rule 2)."""
-        del self.calls[call.asked.call]
-        if self.repeatable(call):
-            self.refuse(call.asked, call.seen)
+        """Gives the call up: blocked, or aborted where a try may have been executed (rule 2)."""
+        del self.calls[call.arrival.call]
+        if self.is_repeatable(call):
+            self.refuse(call.arrival, call.attempt)
         else:
-            self.unserved(call.asked, call.seen)
-            self.loop.actions.append(api.Abort(call.asked.call))
+            self.remember_unserved(call.arrival, call.attempt)
+            self.loop.actions.append(api.Abort(call.arrival.call))
 
-    def refuse(self, asked: api.CallArrived, seen: Seen | None, wait: int = 0) -> None:
+    def refuse(self, arrival: api.CallArrived, attempt: Seen | None, wait: int = 0) -> None:
+        """Blocks the call, with advice when to retry: after `wait` ns, where that is 0 after `come_back`."""
         get = self.loop.settings.get
-        most = get("come_back_limit", 0) if get("come_back", False) and not asked.transit else 0
-        come_back = min(most, wait or self.come_back(asked, seen, most))
-        self.unserved(asked, seen, come_back)
-        self.loop.actions.append(api.Block(asked.call, come_back))
+        max_delay = get("come_back_limit", 0) if get("come_back", False) and not arrival.transit else 0
+        retry_after = min(max_delay, wait or self.come_back(arrival, attempt, max_delay))
+        self.remember_unserved(arrival, attempt, retry_after)
+        self.loop.actions.append(api.Block(arrival.call, retry_after))
 
     def come_back(self, asked: api.CallArrived, seen: Seen | None, most: int) -> int:
-        """Soon while the caller may yet stand in time; then in a slot, so that late ones come evenly.
+        """Nanoseconds after which the caller of a refused call should retry.
 
-        The slots are a share of the calls that stand lately; when they are full up to `most`, any time to
-        there. Never a time after which the caller would have given up.
+        Short while the caller can still be answered within the GoS target. Later callers get a time slot
+        each, so that they return evenly, at a fraction of the rate of the answered calls. When the slots up
+        to `most` are taken, the delay is random up to there. Never so long that the caller would have
+        given up.
         """
-        now, chance = self.loop.now, self.loop.chance()
-        wait = int(self.target * (1 + (chance - 0.5) * self.JITTER) / 3)
+        now, draw = self.loop.now, self.loop.random()
+        short_delay = int(self.target * (1 + (draw - 0.5) * self.RETRY_JITTER) / 3)
         first_at = seen.first_at if seen is not None and seen.first_at >= 0 else now
-        if now + wait < first_at + self.target:
-            return wait
-        lasting = self.loop.settings.get(f"abandon_time:{asked.bearer_type}", 0)
-        most = max(wait, min(most, first_at + lasting - self.target - now))
-        each = int(1.5 * HALVE_EVERY / max(1.0, self.RETURNS * sum(self.delays.bins)))
-        slot = max(self.slot_at, now + wait)
-        if slot + each > now + most:
-            return wait + int(chance * (most - wait))
-        self.slot_at = slot + each
-        return slot + int(chance * each) - now
-
-    def unserved(self, asked: api.CallArrived, seen: Seen | None, come_back: int = 0) -> None:
-        if seen is not None:
-            self.sight.unserved(self.loop.now, self.wanted(asked), seen, come_back)
-
-    def repeatable(self, call: Call) -> bool:
-        """Rule 2: nothing of it may have run, or running twice does no harm."""
-        effect = self.loop.settings.get(f"effect:{call.asked.bearer_type}", "safe")
+        if now + short_delay < first_at + self.target:
+            return short_delay
+        abandon_time = self.loop.settings.get(f"abandon_time:{asked.bearer_type}", 0)
+        most = max(short_delay, min(most, first_at + abandon_time - self.target - now))
+        slot_length = int(1.5 * HALF_LIFE / max(1.0, self.LATE_RETURN_SHARE * sum(self.delays.bins)))
+        slot_at = max(self.next_return_slot_at, now + short_delay)
+        if slot_at + slot_length > now + most:
+            return short_delay + int(draw * (most - short_delay))
+        self.next_return_slot_at = slot_at + slot_length
+        return slot_at + int(draw * slot_length) - now
+
+    def remember_unserved(self, arrival: api.CallArrived, attempt: Seen | None, retry_after: int = 0) -> None:
+        if attempt is not None:
+            self.retry_detector.unserved(self.loop.now, self.request_key(arrival), attempt, retry_after)
+
+    def is_repeatable(self, call: Call) -> bool:
+        """Whether no try can have been executed, or executing it twice does no harm (rule 2)."""
+        effect = self.loop.settings.get(f"effect:{call.arrival.bearer_type}", "safe")
         return not call.may_have_run or effect == "safe"
 
-    # What became of a route try.
+    # Outcomes of route tries.
 
-    def settled(self, route: Exchange, note: Settled) -> None:
-        for one in dict.fromkeys((route, self.numbers.get(self.own_number, route))):
-            self.loop.put(one, note)
+    def report_finished(self, route: Exchange, finished: SetUpFinished) -> None:
+        for exchange in dict.fromkeys((route, self.exchanges_by_number.get(self.own_number, route))):
+            self.loop.post(exchange, finished)
 
-    def stood(self, note: api.Stood) -> None:
-        call = self.calls.pop(note.call, None)
+    def handle_answer(self, message: api.Stood) -> None:
+        call = self.calls.pop(message.call, None)
         if call is not None:
-            route = self.exchange(note.exchange)
-            self.settled(route, Settled("stood", note.delay))
-            self.delays.note(self.loop.now, note.delay / self.target)
-            self.record(call.asked.destination, route).note(self.loop.now, True, note.delay)
-            self.gaps.pop(call.asked.number, None)
-
-    def try_ended(self, note: api.TryEnded) -> None:
-        route = self.exchange(note.exchange)
-        self.figures(note)
-        call = self.calls.get(note.call)
+            route = self.get_exchange(message.exchange)
+            self.report_finished(route, SetUpFinished("answered", message.delay))
+            self.delays.add(self.loop.now, message.delay / self.target)
+            self.route_statistics(call.arrival.destination, route).add(self.loop.now, True, message.delay)
+            self.gaps.pop(call.arrival.number, None)
+
+    def handle_try_ended(self, message: api.TryEnded) -> None:
+        route = self.get_exchange(message.exchange)
+        self.update_circuits(message)
+        call = self.calls.get(message.call)
         if call is None:
             return
-        call.out = None
-        self.learn(call, route, note)
-        if note.done:
-            del self.calls[note.call]
+        call.pending_route = None
+        self.record_outcome(call, route, message)
+        if message.done:
+            del self.calls[message.call]
             return
-        cut_off = note.result in ("timeout", "reset", "cancelled")
+        cut_off = message.result in ("timeout", "reset", "cancelled")
         if cut_off:
             call.release_at = self.loop.now + self.loop.settings.get("release_time", 0)
-        call.may_have_run |= cut_off or note.result == "error"
-        safe = self.repeatable(call)
-        if cut_off or not safe or note.cause in ("beyond_full", "processor_full", "lines_busy"):
+        call.may_have_run |= cut_off or message.result == "error"
+        repeatable = self.is_repeatable(call)
+        if cut_off or not repeatable or message.cause in ("beyond_full", "processor_full", "lines_busy"):
             call.routes.clear()
-            call.unranked = False  # a tandem leads to the same processor and the same number
-        in_time = call.release_at < min(call.arrived + self.target, self.last_send_at(call))
-        if note.result == "timeout" and safe and in_time and not call.asked.transit:
-            self.loop.actions.append(api.SetTimer(call.release_at, str(call.asked.call)))
+            call.needs_tandems = False  # a tandem leads to the same processor and the same number
+        in_time = call.release_at < min(call.arrived_at + self.target, self.last_send_at(call))
+        if message.result == "timeout" and repeatable and in_time and not call.arrival.transit:
+            self.loop.actions.append(api.SetTimer(call.release_at, str(call.arrival.call)))
         else:
-            self.next_route(call)
-
-    def learn(self, call: Call, route: Exchange, note: api.TryEnded) -> None:
-        """What the outcome tells of the route, the exchanges on it and the number."""
-        told = note.result != "timeout" or note.delay >= self.late
-        full = note.cause == "processor_full" and note.result != "moot"
-        if note.result == "timeout":
-            self.unanswered(route, note.delay)
+            self.try_next_route(call)
+
+    def record_outcome(self, call: Call, route: Exchange, message: api.TryEnded) -> None:
+        """Updates what is known of the route, of the exchanges on it and of the called number."""
+        conclusive = message.result != "timeout" or message.delay >= self.late_after
+        processor_full = message.cause == "processor_full" and message.result != "moot"
+        if message.result == "timeout":
+            self.handle_no_answer(route, message.delay)
         else:
-            self.settled(route, Settled("down" if note.result == "connect_failed" else "pressed" * full))
-        if note.cause == "beyond_full":
-            self.loop.put(call.destination, Settled("pressed", elsewhere=True))
-        record = self.record(call.asked.destination, route)
-        if note.cause in ("turned_back", "beyond_full"):
-            record.pause(self.loop.now)
-        if note.cause == "lines_busy":
-            self.widen_gap(call.asked.number)
-        elif note.result not in ("moot", "cancelled") and told:
-            record.note(self.loop.now, False, note.delay)
-
-    def unanswered(self, route: Exchange, waited: int) -> None:
-        """Callers who leave early hide how late answers are; one who left too soon to tell says nothing."""
-        if waited >= self.late:
-            self.lost = self.losses() + 1
-        self.settled(route, Settled("missed" if waited >= self.late else "", waited))
+            self.report_finished(
+                route,
+                SetUpFinished(
+                    "unreachable" if message.result == "connect_failed" else "overloaded" * processor_full
+                ),
+            )
+        if message.cause == "beyond_full":
+            self.loop.post(call.destination, SetUpFinished("overloaded", sent_elsewhere=True))
+        statistics = self.route_statistics(call.arrival.destination, route)
+        if message.cause in ("turned_back", "beyond_full"):
+            statistics.pause(self.loop.now)
+        if message.cause == "lines_busy":
+            self.widen_gap(call.arrival.number)
+        elif message.result not in ("moot", "cancelled") and conclusive:
+            statistics.add(self.loop.now, False, message.delay)
+
+    def handle_no_answer(self, route: Exchange, elapsed: int) -> None:
+        """Counts a set-up that ended without an answer as lost, if it had waited long enough to be late.
+
+        Callers who give up early would otherwise hide late answers; one who gave up before an answer would
+        have been late says nothing about the exchange.
+        """
+        if elapsed >= self.late_after:
+            self.lost_setups = self.recent_losses() + 1
+        self.report_finished(
+            route, SetUpFinished("unanswered" if elapsed >= self.late_after else "", elapsed)
+        )
 
     def widen_gap(self, number: str) -> None:
-        """Guards against a hot number: its callers' repeats cost every processor on the way, for nothing."""
+        """Starts or doubles the gap of a busy number: its calls load every processor on the way for nothing.
+
+        The gap of a number that was answered is removed by `handle_answer`.
+        """
         now, (_, length) = self.loop.now, self.gaps.get(number, (0, 0))
-        length = min(2 * length, self.GAP_MOST) if length else self.GAP_FIRST
-        self.gaps = {one: gap for one, gap in self.gaps.items() if now < gap[0] + self.GAP_MOST}
+        length = min(2 * length, self.MAX_GAP) if length else self.MIN_GAP
+        self.gaps = {called: gap for called, gap in self.gaps.items() if now < gap[0] + self.MAX_GAP}
         self.gaps[number] = (now + length, length)
 
 
 class Controller:
-    """One call agent's decisions."""
+    """Makes the decisions of one call agent; the same seed, settings and events lead to the same actions.
+
+    `sight` and `worth` are what the agent uses before it passes a call on: the detection of further tries,
+    and the expected revenue of a call.
+    """
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
         self._loop = Loop(seed, settings)
         self._home = Home(self._loop)
-        self.sight, self.worth = self._home.sight, self._home.worth  # for what stands before the module
+        self.sight, self.worth = self._home.retry_detector, self._home.worth
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
+        """Handles the events in order and returns the resulting actions; `now` is in nanoseconds."""
         loop = self._loop
         loop.now = now
         for event in events:
-            loop.put(self._home, event)
+            loop.post(self._home, event)
             loop.run()
         actions, loop.actions = loop.actions, []
         return actions
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A controller with a small network around it; times are given in milliseconds."""
+"""A controller in a small network of exchanges; times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from peattrestle import interface as api
 from peattrestle.control import Controller
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 SETTINGS: dict[str, Any] = {
     "agents": 4,
     "own_number": 0,
@@ -30,7 +30,10 @@
 
 
 class Agent:
-    """Exchange 0 with groups to all others, named 'x1' and so on, 30 circuits each."""
+    """Agent of exchange 0, with trunk groups of 30 circuits to all others, named 'x1' and so on.
+
+    Each method passes an event to the controller and returns its actions.
+    """
 
     def __init__(
         self,
@@ -42,41 +45,47 @@
         self.controller = Controller(seed, SETTINGS | (settings or {}))
         self.now = 0
         self.tries: dict[int, int] = {}
-        self.at(0, api.Listed("cached", tuple(api.Entry(f"x{n}", n, "ready") for n in range(exchanges))))
+        self.handle_at(
+            0, api.Listed("cached", tuple(api.Entry(f"x{n}", n, "ready") for n in range(exchanges)))
+        )
         for number in range(1, exchanges):
-            self.free(number, (free or {}).get(number, 30))
+            self.report_free(number, (free or {}).get(number, 30))
 
-    def at(self, ms: float, *events: api.Event) -> list[api.Action]:
+    def handle_at(self, ms: float, *events: api.Event) -> list[api.Action]:
         self.now = int(ms * MS)
         return self.controller.handle(self.now, list(events))
 
-    def free(self, number: int, free: int) -> None:
+    def report_free(self, number: int, free: int) -> None:
         load = {"free": free, "size": 30}
-        assert self.at(self.now / MS, api.Reported(f"x{number}", "served", 0, load)) == []
+        assert self.handle_at(self.now / MS, api.Reported(f"x{number}", "served", 0, load)) == []
 
     def call(
-        self, ms: float, call: int, to: int = 1, patience: float = 3000, **more: Any
+        self, ms: float, call: int, to: int = 1, patience: float = 3000, **overrides: Any
     ) -> list[api.Action]:
         abandon_at = int((ms + patience) * MS)
-        fields: dict[str, Any] = {"bearer_type": "line", "number": f"n{call}"} | more
-        return self.at(ms, api.CallArrived(call, abandon_at=abandon_at, destination=to, **fields))
+        fields: dict[str, Any] = {"bearer_type": "line", "number": f"n{call}"} | overrides
+        return self.handle_at(ms, api.CallArrived(call, abandon_at=abandon_at, destination=to, **fields))
 
-    def ended(self, ms: float, call: int, by: int, result: str, **more: Any) -> list[api.Action]:
-        fields: dict[str, Any] = {"delay": 50 * MS, "done": False} | more
+    def try_ended(self, ms: float, call: int, number: int, result: str, **overrides: Any) -> list[api.Action]:
+        fields: dict[str, Any] = {"delay": 50 * MS, "done": False} | overrides
         self.tries[call] = self.tries.get(call, -1) + 1
-        return self.at(ms, api.TryEnded(call, f"x{by}", result, route_try=self.tries[call], **fields))
+        return self.handle_at(
+            ms, api.TryEnded(call, f"x{number}", result, route_try=self.tries[call], **fields)
+        )
 
-    def stood(self, ms: float, call: int, by: int, delay: float = 50) -> list[api.Action]:
-        return self.at(ms, api.Stood(call, f"x{by}", int(delay * MS), 0))
+    def answered(self, ms: float, call: int, number: int, delay: float = 50) -> list[api.Action]:
+        return self.handle_at(ms, api.Stood(call, f"x{number}", int(delay * MS), 0))
 
-    def state(self, ms: float, number: int, state: str, started: float = 0) -> list[api.Action]:
+    def set_state(self, ms: float, number: int, state: str, started: float = 0) -> list[api.Action]:
         entry = api.Entry(f"x{number}", number, state, int(started * MS))
-        return self.at(ms, api.Listed("delta", (entry,)))
+        return self.handle_at(ms, api.Listed("delta", (entry,)))
 
 
-def sent(actions: list[api.Action]) -> list[str]:
-    return [one.exchange for one in actions if isinstance(one, api.SetUp)]
+def set_up_routes(actions: list[api.Action]) -> list[str]:
+    """Names of the exchanges that set-ups are sent to."""
+    return [action.exchange for action in actions if isinstance(action, api.SetUp)]
 
 
-def answers(actions: list[api.Action]) -> list[str]:
-    return [type(one).__name__ for one in actions if isinstance(one, (api.Block, api.Abort))]
+def final_answers(actions: list[api.Action]) -> list[str]:
+    """Types of the final answers: 'Block' or 'Abort'."""
+    return [type(action).__name__ for action in actions if isinstance(action, (api.Block, api.Abort))]
