--- a/peattrestle/storms/notice.py
+++ b/peattrestle/storms/notice.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from peattrestle.storms.measure import SECOND
+from peattrestle.storms.decaying_statistics import SECOND
 
 
 @dataclass(slots=True, frozen=True)
--- a/peattrestle/storms/restarts.py
+++ b/peattrestle/storms/restarts.py
@@ -10,7 +10,7 @@
 
 from collections import OrderedDict
 
-from peattrestle.storms.measure import SECOND
+from peattrestle.storms.decaying_statistics import SECOND
 
 
 def waiting_delay(gateways: int, rate: float) -> int:
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/shares.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from peattrestle.storms.measure import SECOND, DecayingCounter
+from peattrestle.storms.decaying_statistics import SECOND, DecayingCounter
 
 HALF_LIFE = SECOND  # ns, of the call rates
 
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -16,7 +16,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from peattrestle.storms.measure import SECOND, DecayingCounter, Histogram
+from peattrestle.storms.decaying_statistics import SECOND, DecayingCounter, Histogram
 from peattrestle.storms.sight import FIRST, FURTHER, Seen
 
 RETRY, RETURN, RECONNECT = "retry", "return", "reconnect"
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from peattrestle.storms.measure import DecayingCounter, Histogram
+from peattrestle.storms.decaying_statistics import DecayingCounter, Histogram
 from peattrestle.storms.notice import Notices
 from peattrestle.storms.restarts import Gate, waiting_delay
 from peattrestle.storms.shares import Door, max_min
