--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TryEnded:
-    """A route try has ended; there is exactly one for each try.
+    """The final outcome of a route try.
 
     result: 'served', 'error', 'full', 'timeout', 'connect_failed', 'reset', 'cancelled' or 'moot' (not sent).
     cause: '', 'no_circuit' (none free in the trunk group), 'turned_back' (the tandem has none to the
