--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -735,7 +735,10 @@
             self.loop.actions.append(api.Abort(call.arrival.call))
 
     def refuse(self, arrival: api.CallArrived, attempt: Seen | None, wait: int = 0) -> None:
-        """Blocks the call, with advice when to retry: after `wait` ns, where that is 0 after `come_back`."""
+        """Blocks the call, with advice when to retry.
+
+        wait: nanoseconds to advise; 0 for the delay that `come_back` gives.
+        """
         get = self.loop.settings.get
         max_delay = get("come_back_limit", 0) if get("come_back", False) and not arrival.transit else 0
         retry_after = min(max_delay, wait or self.come_back(arrival, attempt, max_delay))
@@ -862,8 +865,8 @@
 class Controller:
     """Makes the decisions of one call agent; the same seed, settings and events lead to the same actions.
 
-    `sight` and `worth` are what the agent uses before it passes a call on: the detection of further tries,
-    and the expected revenue of a call.
+    `sight` and `worth` are what the agent uses before it passes a call on: the
+    detection of further tries, and the expected revenue of a call.
     """
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -27,8 +27,9 @@
 class Thresholds:
     """Thresholds of one kind of storm.
 
-    start_share, end_share: fractions, see `Watch.share`. min_rate: events per second below which no storm
-    starts; one ends below half of it. start_after, end_after: ns for which a threshold must be passed.
+    start_share, end_share: fractions, see `Watch.share`.
+    min_rate: events per second below which no storm starts; a storm ends below half of it.
+    start_after, end_after: ns for which a threshold must be passed.
     """
 
     start_share: float
