--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -12,10 +12,10 @@
 
 from peattrestle import interface as api
 from peattrestle.agent import listing, mapping
-from peattrestle.agent.asker import Asker, Askers
 from peattrestle.agent.calls import Call, RouteTry
 from peattrestle.agent.link import Link, Release
 from peattrestle.agent.registry import Registry
+from peattrestle.agent.requester import Asker, Askers
 from peattrestle.agent.storms import Storms
 from peattrestle.calls.core import OPEN, REFUSED, STOOD, Core, Final, Log, Unsent
 from peattrestle.calls.guard import Guard
--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -11,8 +11,8 @@
 from peattrestle.storms.sight import Seen
 
 if TYPE_CHECKING:
-    from peattrestle.agent.asker import Asker
     from peattrestle.agent.link import Link
+    from peattrestle.agent.requester import Asker
 
 
 @dataclass(slots=True, kw_only=True)
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from peattrestle.agent.asker import Asker
+from peattrestle.agent.requester import Asker
 from peattrestle.h248 import package
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.settings.agent import Limits
