--- a/peattrestle/agent/__init__.py
+++ b/peattrestle/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The call agent: puts runtime, protocol and decisions together; decides nothing itself."""
+"""The call agent: connects the runtime, the H.248 protocol and the routing module."""
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -1,7 +1,19 @@
-"""The call agent: callers' port, links, list, guard and one `Controller`, all on one kernel.
+"""The call agent: an H.248 server for gateways, with links to the exchanges and one routing `Controller`.
 
-Whatever comes in is turned into the module's events, and its actions into what goes out; docs/protocol.md has
-the table of both. What every front shares (calls, route tries, batches, one final answer) is `calls.core`.
+`CallAgent` translates between the wire and the routing module. Received requests and replies, link failures
+and updates of the exchange list become `interface` events; the actions that the module returns become
+set-ups, releases and replies. docs/protocol.md has the mapping.
+
+Routing and admission are decided by `Controller`. Decided here are only the checks before a call reaches it:
+
+- an Add with an invalid parameter, or for a termination that already has a call, is answered with an error;
+- a call is refused while the agent shuts down, or when `limits.calls` calls are held;
+- a call from a gateway over its share (`Storms.admit`) is passed on marked, so that it is refused with advice
+  on when to retry;
+- a connection beyond `limits.connections` is closed.
+
+`calls.core` has what all protocol front ends share: calls, route tries, event batches, and one final answer
+for each call.
 """
 
 from __future__ import annotations
@@ -15,7 +27,7 @@
 from peattrestle.agent.calls import Call, RouteTry
 from peattrestle.agent.link import Link, Release
 from peattrestle.agent.registry import Registry
-from peattrestle.agent.requester import Asker, Askers
+from peattrestle.agent.requester import Requester, RequesterTable
 from peattrestle.agent.storms import Storms
 from peattrestle.calls.core import OPEN, REFUSED, STOOD, Core, Final, Log, Unsent
 from peattrestle.calls.guard import Guard
@@ -29,13 +41,19 @@
 from peattrestle.runtime import Coroutine, Event, Kernel, Listener, Lost, Refused, Stream
 from peattrestle.settings.agent import Agent as Settings
 
-MS = 1_000_000
-DRAIN_POLL = 10 * MS
-OWN_FAULT = Outcome(package.FAILED, text="fault of the agent")
+MS = 1_000_000  # nanoseconds
+DRAIN_POLL_PERIOD = 10 * MS  # nanoseconds
+# The reply to a call that failed by a fault of the agent itself.
+INTERNAL_ERROR = Outcome(package.FAILED, text="fault of the agent")
 
 
 class CallAgent(Core[Call, RouteTry]):
-    """`log(level, text, **fields)` takes the log lines. `controller` and `guard` are for tests."""
+    """A call agent for one exchange; `start` spawns its tasks on `kernel`.
+
+    `log(level, text, **fields)` writes a log line. `store` keeps the last exchange list over restarts. `seed`
+    seeds the controller (0: the seed of the settings). `controller` and `guard` replace the default ones in
+    tests.
+    """
 
     def __init__(
         self,
@@ -60,50 +78,53 @@
         )
         self.settings = settings
         self.store = store or listing.Store()
-        self.sight = self.controller.sight
+        self.retry_detector = self.controller.sight
         self.mid = f"<{settings.label}>"
         self.started_at = kernel.now()
-        # What a run of this agent names is told apart from what an earlier one named by the time it started.
-        self.run_name = f"{self.started_at // MS:x}"
-        self.first = self.started_at // MS % (1 << 31) + 1
-        self.askers = Askers(
-            limits.gateways, lambda: Transactions(self.first, limits.open_requests, limits.kept_replies)
+        # The start time keeps termination names and transaction ids of this run apart from an earlier run's.
+        self.run_id = f"{self.started_at // MS:x}"
+        self.first_transaction_id = self.started_at // MS % (1 << 31) + 1
+        self.requesters = RequesterTable(
+            limits.gateways,
+            lambda: Transactions(self.first_transaction_id, limits.open_requests, limits.kept_replies),
         )
-        self.own = Asker(f"exchange {settings.number}", Transactions())
+        self.own_exchange = Requester(f"exchange {settings.number}", Transactions())
         self.terminations: dict[str, RouteTry] = {}
         self.links: dict[str, Link] = {}
         self.entries: dict[str, listing.Row] = {}
         self.numbers: dict[int, str] = {}
         self.groups: dict[int, package.GroupFree] = {}
-        self.connections = 0
+        self.connection_count = 0
         self.tracing = settings.log_level == "debug"
-        self.storms = Storms(kernel, limits, log, self.counts.add, self.askers.known.values)
+        self.storms = Storms(kernel, limits, log, self.counts.add, self.requesters.known.values)
         self.open_for_calls = Event(kernel)
         self.address = ""
         self.listener: Listener | None = None
         self.draining = False
-        self._holding = max(one.holding for one in settings.bearer)
-        self._bearers = {one.label for one in settings.bearer}
+        self._max_holding_time = max(bearer.holding for bearer in settings.bearer)
+        self._bearer_types = {bearer.label for bearer in settings.bearer}
 
     # Start and stop.
 
     def start(self) -> None:
+        """Starts the agent; returns at once."""
         self.kernel.spawn(self.run(), f"agent {self.settings.label}")
 
     def run(self) -> Coroutine[None]:
-        kept = listing.unpack(self.kernel.now(), self.store.load())
-        if kept is not None:
-            self.listed("cached", kept)
+        """Connects to the exchanges, then accepts gateways until the listener is closed."""
+        cached_rows = listing.unpack(self.kernel.now(), self.store.load())
+        if cached_rows is not None:
+            self.apply_list("cached", cached_rows)
         if self.settings.registry.endpoints:
             self.kernel.spawn(self.registry().run(), "registry")
         else:
             self.kernel.spawn(self.follow_list(), "list")
         listener = self.listener = self.kernel.listen(self.settings.callers)
         self.address = listener.address
-        yield from self.settle()
+        yield from self.wait_for_links()
         self.open_for_calls.set()
         self.log("info", "ready", address=self.address, exchanges=len(self.links))
-        self.kernel.spawn(self.sweep(), "sweep")
+        self.kernel.spawn(self.release_orphans(), "sweep")
         self.kernel.spawn(self.storms.run(), "storms")
         while True:
             while (wait := self.storms.accept_after()) > 0:
@@ -112,15 +133,15 @@
                 stream = yield from listener.accept()
             except Lost:
                 return
-            if self.connections >= self.settings.limits.connections:
+            if self.connection_count >= self.settings.limits.connections:
                 self.counts.add("connections_shed")
                 stream.close()
                 continue
-            self.connections += 1
-            self.kernel.spawn(self.gateway(stream), f"gateway {stream.peer}")
+            self.connection_count += 1
+            self.kernel.spawn(self.serve_gateway(stream), f"gateway {stream.peer}")
 
-    def drain(self, ended: Callable[[], None]) -> None:
-        """Takes no connection and no call any more; `ended` is called when each call has its final answer."""
+    def drain(self, on_drained: Callable[[], None]) -> None:
+        """Stops taking connections and calls; calls `on_drained` once each open call has its final answer."""
         if self.draining:
             return
         self.draining = True
@@ -128,75 +149,84 @@
         self.log("info", "stopping", open=open_calls)
         if self.listener is not None:
             self.listener.close()
-        self.kernel.spawn(self.until_answered(ended), "drain")
+        self.kernel.spawn(self.wait_until_answered(on_drained), "drain")
 
-    def until_answered(self, ended: Callable[[], None]) -> Coroutine[None]:
-        """Each open call is answered by its abandon time, so this ends."""
+    def wait_until_answered(self, on_drained: Callable[[], None]) -> Coroutine[None]:
+        """Ends by the latest abandon time of the open calls, since each is answered by then."""
         while any(call.state == OPEN for call in self.calls.values()):
-            yield from self.kernel.sleep(DRAIN_POLL)
-        yield from self.kernel.sleep(DRAIN_POLL)  # the last answers go out
-        ended()
+            yield from self.kernel.sleep(DRAIN_POLL_PERIOD)
+        yield from self.kernel.sleep(DRAIN_POLL_PERIOD)  # time to send the last answers
+        on_drained()
 
     def stop(self) -> None:
-        """Gives up listening and links; the callers' connections end with the kernel."""
+        """Closes the listener and the links; the gateways' connections end with the kernel."""
         if self.listener is not None:
             self.listener.close()
         for link in list(self.links.values()):
             link.close()
 
-    def settle(self) -> Coroutine[None]:
-        """Until each link's first attempt has ended, but no longer than the setting says."""
+    def wait_for_links(self) -> Coroutine[None]:
+        """Waits until each link has finished its first connection attempt, at most `links.settle`."""
         until = self.kernel.now() + self.settings.links.settle
         while self.kernel.now() < until:
-            if self.links and all(link.tried for link in self.links.values()):
+            if self.links and all(link.first_attempt_done for link in self.links.values()):
                 return
             yield from self.kernel.sleep(5 * MS)
 
-    def sweep(self) -> Coroutine[None]:
-        """Standing calls of a gateway that has been gone for too long are released: nobody else would."""
+    def release_orphans(self) -> Coroutine[None]:
+        """Once a second, releases the calls of requesters that have been disconnected for `orphan_time`.
+
+        Without this the calls of a gateway that never returns would hold their circuits for ever.
+        """
         while True:
             yield from self.kernel.sleep(1000 * MS)
-            old = self.kernel.now() - self.settings.orphan_time
-            for asker in [*self.askers.known.values(), self.own]:
-                if asker.session is None and asker.calls and asker.gone_at < old:
-                    for call in list(asker.calls.values()):
+            cutoff = self.kernel.now() - self.settings.orphan_time
+            for requester in [*self.requesters.known.values(), self.own_exchange]:
+                if requester.session is None and requester.calls and requester.disconnected_at < cutoff:
+                    for call in list(requester.calls.values()):
                         self.counts.add("orphans_released")
                         self.finish(call)
 
     def worded(self, call: Call, final: Final) -> Outcome:
-        """A final answer as the protocol has it."""
+        """The final answer as an H.248 outcome."""
         if final.kind == STOOD:
             return Outcome(0, str(call.id))
         if final.kind != REFUSED:
-            return OWN_FAULT if final.own_fault else Outcome(package.FAILED, text="failed")
+            return INTERNAL_ERROR if final.own_fault else Outcome(package.FAILED, text="failed")
         cause = ""
-        if call.asker is self.own:  # a tandem tells the exchange before it who was full: itself, or beyond
+        if call.asker is self.own_exchange:
+            # In transit the previous exchange is told what was full: this tandem, or a hop beyond it.
             cause = "beyond_full" if call.cause == "processor_full" else "turned_back"
         return Outcome(package.REFUSED, text="refused", come_back=final.come_back, cause=cause)
 
-    # Calls: in.
+    # Incoming calls.
 
-    def add(self, asker: Asker, number: int, command: Command, transit: bool) -> None:
+    def handle_add(self, requester: Requester, transaction_id: int, command: Command, transit: bool) -> None:
+        """Takes a new call, or replies with an error or a refusal. `transit`: the own exchange sent it."""
         now = self.kernel.now()
         try:
-            asked = package.read_add(command)
-            if asked.bearer_type not in self._bearers:
-                raise BadValue(f"ptc/brt: no bearer type '{asked.bearer_type}'")
-        except BadValue as fault:
+            request = package.read_add(command)
+            if request.bearer_type not in self._bearer_types:
+                raise BadValue(f"ptc/brt: no bearer type '{request.bearer_type}'")
+        except BadValue as error:
             self.counts.add("bad_requests")
-            asker.reply(
-                number,
+            requester.reply(
+                transaction_id,
                 package.command_reply(
-                    number, "$", "Add", command.termination, (package.BAD_VALUE, str(fault).replace('"', "'"))
+                    transaction_id,
+                    "$",
+                    "Add",
+                    command.termination,
+                    (package.BAD_VALUE, str(error).replace('"', "'")),
                 ),
             )
             return
-        if asked.termination in asker.calls:
+        if request.termination in requester.calls:
             self.counts.add("bad_requests")
-            asker.reply(
-                number,
+            requester.reply(
+                transaction_id,
                 package.command_reply(
-                    number,
+                    transaction_id,
                     "$",
                     "Add",
                     command.termination,
@@ -208,11 +238,11 @@
         if self.draining or len(self.calls) >= self.settings.limits.calls:
             self.counts.add("refused_in_shutdown" if self.draining else "refused_at_bound")
             self.counts.add("transit_refused" if transit else "refused")
-            asker.reply(
-                number,
+            requester.reply(
+                transaction_id,
                 package.outcome_text(
-                    number,
-                    asked.termination,
+                    transaction_id,
+                    request.termination,
                     Outcome(
                         package.REFUSED,
                         text="shutting down" if self.draining else "as many calls as can be held",
@@ -224,50 +254,55 @@
         call = Call(
             self.next_id(),
             now,
-            now + asked.patience,
-            asker=asker,
-            transaction=number,
-            asked=asked,
+            now + request.patience,
+            asker=requester,
+            transaction=transaction_id,
+            asked=request,
         )
         if not transit:
-            wanted = (asker.name, asked.bearer_type, asked.destination, asked.number)
-            call.seen = self.sight.asked(now, wanted, asked.repeat, asked.cut_before)
-            self.storms.watch.call(now, call.seen, asker.name)
-        asker.calls[asked.termination] = call
-        call.pending = self.kernel.at(now + self.settings.limits.pending_after, lambda: self.still_at(call))
-        via = asked.origin if transit else asked.via
+            retry_key = (requester.name, request.bearer_type, request.destination, request.number)
+            call.seen = self.retry_detector.asked(now, retry_key, request.repeat, request.cut_before)
+            self.storms.watch.call(now, call.seen, requester.name)
+        requester.calls[request.termination] = call
+        call.pending_timer = self.kernel.at(
+            now + self.settings.limits.pending_after, lambda: self.send_pending(call)
+        )
+        via = request.origin if transit else request.via
         arrived = api.CallArrived(
             call.id,
-            asked.bearer_type,
+            request.bearer_type,
             call.abandon_at,
-            asked.destination,
-            asked.number,
-            asked.width,
+            request.destination,
+            request.number,
+            request.width,
             via,
             transit,
-            asked.cut_before,
-            asked.repeat,
-            asked.customer,
-            "" if transit else asker.name,
+            request.cut_before,
+            request.repeat,
+            request.customer,
+            "" if transit else requester.name,
             seen=call.seen,
         )
-        if not transit and not self.storms.lets(asker.name, self.controller.worth(arrived, call.seen)):
-            call.held = True
+        if not transit and not self.storms.admit(requester.name, self.controller.worth(arrived, call.seen)):
+            call.over_share = True
             arrived = replace(arrived, held=True)
         self.take(call, arrived)
 
-    def still_at(self, call: Call) -> None:
-        """H.248's word for a slow request, said once; the final answer is still to come."""
+    def send_pending(self, call: Call) -> None:
+        """Sends H.248's Pending, once for each call, where the final answer takes longer."""
         if call.state == OPEN and call.asker.session is not None:
             call.asker.session.send(f"Pending={call.transaction}{{}}")
 
-    def subtract(self, asker: Asker, number: int, action: Action, command: Command) -> None:
-        call = asker.calls.get(command.termination)
+    def handle_subtract(
+        self, requester: Requester, transaction_id: int, action: Action, command: Command
+    ) -> None:
+        """Releases a call; one that is still open is cancelled and gets no final answer."""
+        call = requester.calls.get(command.termination)
         if call is None:
-            asker.reply(
-                number,
+            requester.reply(
+                transaction_id,
                 package.command_reply(
-                    number,
+                    transaction_id,
                     action.context,
                     "Subtract",
                     command.termination,
@@ -275,8 +310,11 @@
                 ),
             )
             return
-        asker.reply(number, package.command_reply(number, str(call.id), "Subtract", command.termination))
-        prefix = "transit_" if asker is self.own else ""
+        requester.reply(
+            transaction_id,
+            package.command_reply(transaction_id, str(call.id), "Subtract", command.termination),
+        )
+        prefix = "transit_" if requester is self.own_exchange else ""
         if call.state == OPEN:
             self.counts.add(prefix + "left")
             self.caller_left(call)
@@ -285,7 +323,10 @@
             self.finish(call)
 
     def caller_left(self, call: Call) -> None:
-        """No answer is owed; a repeat of the request is told that it failed."""
+        """Ends an open call without sending a final answer.
+
+        The transaction is closed as failed, which a repeated request is answered with.
+        """
         super().caller_left(call)
         call.asker.transactions.answer(
             call.transaction,
@@ -295,69 +336,73 @@
         )
 
     def dropped(self, call: Call) -> None:
-        if call.pending is not None:
-            call.pending.cancel()
+        """Forgets the call's Pending timer and its termination."""
+        if call.pending_timer is not None:
+            call.pending_timer.cancel()
         call.asker.calls.pop(call.asked.termination, None)
 
     def named(self, call: Call) -> str:
+        """The caller's reference of the call, for the log."""
         return call.asked.reference
 
-    # Calls: out.
+    # Route tries.
 
     def launch(self, call: Call, action: api.SetUp, number: int) -> RouteTry | Unsent:
-        asked, link = call.asked, self.links.get(action.exchange)
-        own = self.links.get(self.numbers.get(self.settings.number, ""))
-        if own is not None and not own.up:
-            # Without its own exchange nothing starts here: the set-up's first leg is there.
+        """Sends the set-up of route try `number` to an exchange, or returns why it can't be sent."""
+        request, link = call.asked, self.links.get(action.exchange)
+        own_link = self.links.get(self.numbers.get(self.settings.number, ""))
+        if own_link is not None and not own_link.up:
+            # Every call starts at the agent's own exchange, so without it nothing can be set up.
             return Unsent("moot", "processor_full")
         if link is None:
             return Unsent()
-        one = RouteTry(
+        route_try = RouteTry(
             call,
             number,
             action.exchange,
             self.kernel.now(),
             link=link,
-            termination=f"t/{self.settings.label}/{self.run_name}/{call.id}/{number}",
+            termination=f"t/{self.settings.label}/{self.run_id}/{call.id}/{number}",
         )
         row = self.entries[action.exchange]
         sent = link.set_up(
-            one,
+            route_try,
             SetUpAsked(
-                one.termination,
-                asked.bearer_type,
-                asked.destination,
+                route_try.termination,
+                request.bearer_type,
+                request.destination,
                 action.patience,
-                asked.number,
-                asked.width,
-                transit=row.number == asked.destination and asked.transit,
-                repeat=asked.repeat,
-                cut_before=asked.cut_before,
-                customer=asked.customer,
-                reference=asked.reference,
+                request.number,
+                request.width,
+                transit=row.number == request.destination and request.transit,
+                repeat=request.repeat,
+                cut_before=request.cut_before,
+                customer=request.customer,
+                reference=request.reference,
                 origin=self.settings.number,
             ),
         )
         if not sent:
             return Unsent()
-        self.terminations[one.termination] = one
-        return one
-
-    def end_launched(self, one: RouteTry, tell: bool) -> None:
-        """`tell`: by a Subtract."""
-        if one.state == "out":
-            one.link.transactions.give_up(one.transaction)
-        self.terminations.pop(one.termination, None)
+        self.terminations[route_try.termination] = route_try
+        return route_try
+
+    def end_launched(self, route_try: RouteTry, tell: bool) -> None:
+        """Forgets a route try; `tell`: the exchange is sent a Subtract, as it may hold a circuit for it."""
+        if route_try.state == "out":
+            route_try.link.transactions.give_up(route_try.transaction)
+        self.terminations.pop(route_try.termination, None)
         if tell:
-            one.link.release(one.context, one.termination, one.call.id)
+            route_try.link.release(route_try.context, route_try.termination, route_try.call.id)
 
     def reply(self, call: Call, final: Final) -> None:
-        if call.pending is not None:
-            call.pending.cancel()
-        self.counts.add(("transit_" if call.asker is self.own else "") + final.kind)
-        if call.asker is not self.own and final.kind == STOOD:
+        """Counts the final answer and sends it to the requester."""
+        if call.pending_timer is not None:
+            call.pending_timer.cancel()
+        self.counts.add(("transit_" if call.asker is self.own_exchange else "") + final.kind)
+        if call.asker is not self.own_exchange and final.kind == STOOD:
             self.storms.door.stood(self.kernel.now())
-        elif call.asker is not self.own and not call.held:
+        elif call.asker is not self.own_exchange and not call.over_share:
             self.storms.door.refused(self.kernel.now())
         call.asker.reply(
             call.transaction,
@@ -365,23 +410,28 @@
         )
 
     def misanswered(self, call: Call) -> bool:
+        """Closes the call's transaction as failed, without sending the reply.
+
+        False where it had been answered already.
+        """
         if not call.asker.transactions.owes(call.transaction):
             return False
         call.asker.transactions.answer(
-            call.transaction, package.outcome_text(call.transaction, call.asked.termination, OWN_FAULT)
+            call.transaction, package.outcome_text(call.transaction, call.asked.termination, INTERNAL_ERROR)
         )
         return True
 
-    # Links and their news.
+    # Events of links.
 
-    def link_up(self, link: Link) -> None:
+    def on_link_up(self, link: Link) -> None:
+        """Logs the new connection; that of the own exchange also carries transit calls to this agent."""
         self.log("info", "link up", exchange=link.exchange, address=link.address)
         if self.is_own(link.exchange):
-            self.own.session, self.own.stream = link.session, link.stream
-            self.own.transactions = link.transactions
+            self.own_exchange.session, self.own_exchange.stream = link.session, link.stream
+            self.own_exchange.transactions = link.transactions
 
-    def greeted(self, link: Link, reply: Reply) -> None:
-        """An exchange says itself how long it has run: sooner than the list does, which is seconds late."""
+    def on_hello_reply(self, link: Link, reply: Reply) -> None:
+        """Updates the exchange's start time from the age in its reply, seconds before the list has it."""
         found = package.first_command(reply.actions)
         services = found[1].find("Services") if found is not None else None
         age = services.find("ptc/age") if services is not None else None
@@ -393,43 +443,49 @@
         self.guard.told(now, row.exchange, row.state, now - row.age)
         entry = api.Entry(row.exchange, row.number, row.state, now - row.age, row.zone)
         self.post(api.Listed("delta", (entry,)))
-        # The reply may have been long on its way: what stood before is only gone if it was set up before the
-        # earliest start that the age allows.
-        self.forgotten(link, link.greeted_at - row.age)
-
-    def forgotten(self, link: Link, started_at: int) -> None:
-        """An exchange that started anew holds nothing of before: calls through it are cut, and the transit
-        calls that the own one had asked for are nobody's any more."""
-        for one in [one for one in self.terminations.values() if one.link is link]:
-            if one.state == "stands" and one.sent_at < started_at:
-                self.cut(one)
+        # The reply may have been delayed, so the exchange may have started as early as the time of the hello
+        # less the age. Only calls set up before that are known to be gone.
+        self.drop_forgotten_calls(link, link.hello_sent_at - row.age)
+
+    def drop_forgotten_calls(self, link: Link, started_at: int) -> None:
+        """Ends the calls that an exchange lost when it restarted at `started_at`.
+
+        Calls through it are reported as cut. Where it is the own exchange, the transit calls that it had
+        requested are released, since nothing else would release them.
+        """
+        for route_try in [route_try for route_try in self.terminations.values() if route_try.link is link]:
+            if route_try.state == "stands" and route_try.sent_at < started_at:
+                self.on_call_cut(route_try)
         if self.is_own(link.exchange):
-            for call in [call for call in self.own.calls.values() if call.arrived < started_at]:
+            for call in [call for call in self.own_exchange.calls.values() if call.arrived < started_at]:
                 self.counts.add("orphans_released")
                 self.finish(call)
 
     def is_own(self, exchange: str) -> bool:
+        """Whether this is the exchange that the agent runs beside."""
         return self.numbers.get(self.settings.number) == exchange
 
-    def link_lost(self, link: Link, tries: list[RouteTry], why: str) -> None:
-        self.log("warning", "link lost", exchange=link.exchange, why=why, route_tries=len(tries))
-        for one in tries:
-            if one.state == "out":
+    def on_link_lost(self, link: Link, route_tries: list[RouteTry], reason: str) -> None:
+        """Ends the lost link's unanswered route tries; for the own exchange also its open transit calls."""
+        self.log("warning", "link lost", exchange=link.exchange, why=reason, route_tries=len(route_tries))
+        for route_try in route_tries:
+            if route_try.state == "out":
                 self.counts.add("resets")
-                self.try_over(one, "reset", tell=True, cut_off=True)
+                self.try_over(route_try, "reset", tell=True, cut_off=True)
         if self.is_own(link.exchange):
-            self.own.session = self.own.stream = None
-            self.own.gone_at = self.kernel.now()
-            for call in [one for one in self.own.calls.values() if one.state == OPEN]:
+            self.own_exchange.session = self.own_exchange.stream = None
+            self.own_exchange.disconnected_at = self.kernel.now()
+            for call in [call for call in self.own_exchange.calls.values() if call.state == OPEN]:
                 self.counts.add("transit_left")
                 self.caller_left(call)
 
-    def link_heard(self, link: Link, heard: Heard) -> None:
-        match heard:
-            case Answered(RouteTry() as one, reply):
-                self.outcome(one, package.read_outcome(reply))
+    def on_link_event(self, link: Link, event: Heard) -> None:
+        """Handles a reply, a request or a malformed message received over a link."""
+        match event:
+            case Answered(RouteTry() as route_try, reply):
+                self.on_add_reply(route_try, package.read_outcome(reply))
             case Answered(Release() as release, reply):
-                link.released(release, package.refusal(reply))
+                link.on_release_reply(release, package.refusal(reply))
                 found = package.first_command(reply.actions)
                 if found is not None:
                     statistics = found[1].find("Statistics")
@@ -437,53 +493,63 @@
                     if load:
                         self.post(api.Reported(link.exchange, "served", 0, load))
             case Answered("hello", reply):
-                self.greeted(link, reply)
+                self.on_hello_reply(link, reply)
             case New(request):
-                self.exchange_asks(link, request.id, request.actions)
-            case Stray(number):
+                self.handle_exchange_request(link, request.id, request.actions)
+            case Stray(transaction_id):
                 self.counts.add("stray_replies")
                 self.log(
-                    "debug", "a reply to nothing that is open", exchange=link.exchange, transaction=number
+                    "debug",
+                    "reply to an unknown transaction",
+                    exchange=link.exchange,
+                    transaction=transaction_id,
                 )
-            case Garbled(fault):
+            case Garbled(error):
                 self.counts.add("garbled")
-                self.log("warning", "garbled message", exchange=link.exchange, fault=str(fault))
+                self.log("warning", "malformed message", exchange=link.exchange, fault=str(error))
             case _:
                 pass
 
-    def outcome(self, one: RouteTry, outcome: Outcome) -> None:
-        if one.state != "out":
+    def on_add_reply(self, route_try: RouteTry, outcome: Outcome) -> None:
+        """Records the exchange's answer to a set-up, unless the route try has ended already."""
+        if route_try.state != "out":
             return
         if outcome.code:
             result, cause = mapping.result_of(outcome)
             self.try_over(
-                one, result, tell=False, cut_off=False, cause=cause, wait=outcome.wait, load=outcome.load
+                route_try,
+                result,
+                tell=False,
+                cut_off=False,
+                cause=cause,
+                wait=outcome.wait,
+                load=outcome.load,
             )
             return
-        one.context = outcome.context
-        self.stands(one, outcome.load)
+        route_try.context = outcome.context
+        self.stands(route_try, outcome.load)
 
-    def exchange_asks(self, link: Link, number: int, actions: list[Action]) -> None:
-        """Requests of an exchange: group sizes, cuts; from the own one also calls in transit."""
+    def handle_exchange_request(self, link: Link, transaction_id: int, actions: list[Action]) -> None:
+        """Handles a request of an exchange: events, and from the own exchange also calls in transit."""
         session = link.session
         if session is None:
             return
         for action in actions:
             for command in action.commands:
                 if command.name == "Add" and self.is_own(link.exchange):
-                    self.own.session, self.own.transactions = session, link.transactions
-                    self.add(self.own, number, command, transit=True)
+                    self.own_exchange.session, self.own_exchange.transactions = session, link.transactions
+                    self.handle_add(self.own_exchange, transaction_id, command, transit=True)
                     return
                 if command.name == "Subtract" and self.is_own(link.exchange):
-                    self.subtract(self.own, number, action, command)
+                    self.handle_subtract(self.own_exchange, transaction_id, action, command)
                     return
                 if command.name == "Notify":
-                    self.notified(link, command)
+                    self.handle_notify(link, command)
                 elif command.name not in ("ServiceChange", "AuditValue"):
                     session.reply(
-                        number,
+                        transaction_id,
                         package.command_reply(
-                            number,
+                            transaction_id,
                             action.context,
                             command.name,
                             command.termination,
@@ -493,102 +559,113 @@
                     return
         first = actions[0].commands[0]
         session.reply(
-            number, package.command_reply(number, actions[0].context, first.name, first.termination)
+            transaction_id,
+            package.command_reply(transaction_id, actions[0].context, first.name, first.termination),
         )
 
-    def notified(self, link: Link, command: Command) -> None:
+    def handle_notify(self, link: Link, command: Command) -> None:
+        """Handles an exchange's events: circuits of its trunk groups, and a call that was cut."""
         try:
             for group in package.read_groups(command):
                 self.groups[group.to] = group
                 self.report_group(group)
-        except BadValue as fault:
-            self.log("warning", "bad group report", exchange=link.exchange, fault=str(fault))
+        except BadValue as error:
+            self.log("warning", "invalid group report", exchange=link.exchange, fault=str(error))
         if package.is_cut(command):
-            one = self.terminations.get(command.termination)
-            if one is None:
+            route_try = self.terminations.get(command.termination)
+            if route_try is None:
                 return
-            if one.state == "out":
-                self.try_over(one, "reset", tell=True, cut_off=True)
-            elif one.state == "stands":
-                self.cut(one)
-
-    def cut(self, one: RouteTry) -> None:
-        """A standing call was cut beyond us: its asker is told."""
-        call = one.call
+            if route_try.state == "out":
+                self.try_over(route_try, "reset", tell=True, cut_off=True)
+            elif route_try.state == "stands":
+                self.on_call_cut(route_try)
+
+    def on_call_cut(self, route_try: RouteTry) -> None:
+        """Ends a standing call that was cut by its exchange, and notifies the requester."""
+        call = route_try.call
         self.counts.add("cut")
         if call.seen is not None:
             self.storms.watch.cut(self.kernel.now(), call.asker.name)
-        self.end_try(one, tell=False)
+        self.end_try(route_try, tell=False)
         self.forget(call)
-        self.post(api.TryEnded(call.id, one.exchange, "reset", 0, one.number, True))
-        call.asker.tell(
-            lambda number: package.notify_text(number, str(call.id), call.asked.termination, ["ptc/cut"])
+        self.post(api.TryEnded(call.id, route_try.exchange, "reset", 0, route_try.number, True))
+        call.asker.notify(
+            lambda transaction_id: package.notify_text(
+                transaction_id, str(call.id), call.asked.termination, ["ptc/cut"]
+            )
         )
 
     def report_group(self, group: package.GroupFree) -> None:
+        """Reports a trunk group's circuits to the controller and updates the guard's capacity estimate."""
         exchange = self.numbers.get(group.to)
         if exchange is not None and group.to != self.settings.number:
             self.post(api.Reported(exchange, "served", 0, {"free": group.free, "size": group.size}))
-            circuits = sum(one.size for one in self.groups.values())
-            self.guard.carried = circuits / self._holding
+            circuits = sum(other_group.size for other_group in self.groups.values())
+            self.guard.carried = circuits / self._max_holding_time
 
     # Gateways.
 
-    def gateway(self, stream: Stream) -> Coroutine[None]:
-        limits, asker = self.settings.limits, None
+    def serve_gateway(self, stream: Stream) -> Coroutine[None]:
+        """Serves one connection of a gateway until it ends; its open calls are then cancelled."""
+        limits, requester = self.settings.limits, None
 
         def bind(mid: str) -> Transactions | None:
-            nonlocal asker
-            asker = self.askers.get(mid)
-            if asker is None:
-                raise BadPeer(f"{limits.gateways} gateways are known already")
-            if asker.stream is not None:
-                asker.stream.close()  # a gateway that comes again has given its old connection up
-            asker.session, asker.stream = session, stream
-            return asker.transactions
+            nonlocal requester
+            requester = self.requesters.get(mid)
+            if requester is None:
+                raise BadPeer(f"limit of {limits.gateways} gateways reached")
+            if requester.stream is not None:
+                requester.stream.close()  # replaced by the new connection
+            requester.session, requester.stream = session, stream
+            return requester.transactions
 
         session = Session(self.mid, Transactions(), stream.write, limits.message, bind)
-        why = "closed"
+        reason = "closed"
         try:
             while data := (yield from stream.read()):
-                for heard in session.feed(self.kernel.now(), data):
-                    assert asker is not None or isinstance(heard, Garbled)
-                    if isinstance(heard, New) and asker is not None:
-                        self.gateway_asks(asker, heard.request.id, heard.request.actions)
-                    elif isinstance(heard, Garbled):
+                for event in session.feed(self.kernel.now(), data):
+                    assert requester is not None or isinstance(event, Garbled)
+                    if isinstance(event, New) and requester is not None:
+                        self.handle_gateway_request(requester, event.request.id, event.request.actions)
+                    elif isinstance(event, Garbled):
                         self.counts.add("garbled")
-                        self.log("warning", "garbled message", gateway=stream.peer, fault=str(heard.fault))
+                        self.log("warning", "malformed message", gateway=stream.peer, fault=str(event.fault))
                 if stream.unsent > limits.unread:
-                    why = f"it left {stream.unsent} bytes unread"
+                    reason = f"gateway left {stream.unsent} bytes unread"
                     stream.abort()
                     break
-        except Lost as fault:
-            why = str(fault)
-        except (BadPeer, Full) as fault:
-            why = f"bad peer: {fault}"
+        except Lost as error:
+            reason = str(error)
+        except (BadPeer, Full) as error:
+            reason = f"bad peer: {error}"
             self.counts.add("bad_peers")
         finally:
-            self.connections -= 1
+            self.connection_count -= 1
             stream.close()
-            if asker is not None and asker.stream is stream:
-                asker.session = asker.stream = None
-                asker.gone_at = self.kernel.now()
-                self.storms.gone(asker)
-                for call in [one for one in asker.calls.values() if one.state == OPEN]:
+            if requester is not None and requester.stream is stream:
+                requester.session = requester.stream = None
+                requester.disconnected_at = self.kernel.now()
+                self.storms.on_gateway_disconnected(requester)
+                for call in [call for call in requester.calls.values() if call.state == OPEN]:
                     self.counts.add("left")
                     self.caller_left(call)
-            self.log("info", "gateway gone", gateway=session.peer or stream.peer, why=why)
+            self.log("info", "gateway gone", gateway=session.peer or stream.peer, why=reason)
 
-    def gateway_asks(self, asker: Asker, number: int, actions: list[Action]) -> None:
+    def handle_gateway_request(
+        self, requester: Requester, transaction_id: int, actions: list[Action]
+    ) -> None:
+        """Handles a gateway's request, or replies with the error of what the profile does not have."""
         first = actions[0].commands[0]
         if len(actions) > 1 or len(actions[0].commands) > 1:
-            asker.reply(number, f'Reply={number}{{Error=421{{"one command in a transaction"}}}}')
+            requester.reply(
+                transaction_id, f'Reply={transaction_id}{{Error=421{{"one command in a transaction"}}}}'
+            )
         elif first.name == "Add":
             if actions[0].context != "$":
-                asker.reply(
-                    number,
+                requester.reply(
+                    transaction_id,
                     package.command_reply(
-                        number,
+                        transaction_id,
                         actions[0].context,
                         "Add",
                         first.termination,
@@ -596,125 +673,142 @@
                     ),
                 )
             else:
-                self.add(asker, number, first, transit=False)
+                self.handle_add(requester, transaction_id, first, transit=False)
         elif first.name == "Subtract":
-            self.subtract(asker, number, actions[0], first)
+            self.handle_subtract(requester, transaction_id, actions[0], first)
         elif first.name == "ServiceChange":
-            self.gateway_changes(asker, number, first)
+            self.handle_service_change(requester, transaction_id, first)
         elif first.name in ("AuditValue", "Notify"):
-            asker.reply(
-                number, package.command_reply(number, actions[0].context, first.name, first.termination)
+            requester.reply(
+                transaction_id,
+                package.command_reply(transaction_id, actions[0].context, first.name, first.termination),
             )
         else:
-            asker.reply(
-                number,
+            requester.reply(
+                transaction_id,
                 package.command_reply(
-                    number, actions[0].context, first.name, first.termination, (443, "not in the profile")
+                    transaction_id,
+                    actions[0].context,
+                    first.name,
+                    first.termination,
+                    (443, "not in the profile"),
                 ),
             )
 
-    def gateway_changes(self, asker: Asker, number: int, command: Command) -> None:
+    def handle_service_change(self, requester: Requester, transaction_id: int, command: Command) -> None:
+        """Registers a gateway that (re)starts or reconnects, or tells it to restart later."""
         try:
             change = package.read_service_change(command)
-        except BadValue as fault:
-            asker.reply(
-                number,
+        except BadValue as error:
+            requester.reply(
+                transaction_id,
                 package.command_reply(
-                    number, "-", "ServiceChange", command.termination, (package.BAD_VALUE, str(fault))
+                    transaction_id, "-", "ServiceChange", command.termination, (package.BAD_VALUE, str(error))
                 ),
             )
             return
         if change.method == "Disconnected":
-            self.storms.connected(asker, len(self.askers.known))
-        wait = self.storms.restart_after(asker) if change.method in ("Restart", "Disconnected") else 0
+            self.storms.on_gateway_connected(requester, len(self.requesters.known))
+        wait = self.storms.restart_after(requester) if change.method in ("Restart", "Disconnected") else 0
         if wait:
-            later = f'Error={package.REFUSED}{{"restart later"}},Services{{ptl/wai={wait}}}'
-            asker.reply(
-                number,
-                package.command_reply(number, "-", "ServiceChange", command.termination, inside=later),
+            descriptors = f'Error={package.REFUSED}{{"restart later"}},Services{{ptl/wai={wait}}}'
+            requester.reply(
+                transaction_id,
+                package.command_reply(
+                    transaction_id, "-", "ServiceChange", command.termination, inside=descriptors
+                ),
             )
             return
         if change.method == "Restart":
-            for call in list(asker.calls.values()):  # it has forgotten them
+            for call in list(requester.calls.values()):  # a restarted gateway has lost its calls
                 self.counts.add("orphans_released")
                 self.finish(call)
-            asker.transactions.restarted()
-            asker.transactions.receive(self.kernel.now(), Request(number, []))
-        asker.reply(
-            number,
+            requester.transactions.restarted()
+            requester.transactions.receive(self.kernel.now(), Request(transaction_id, []))
+        requester.reply(
+            transaction_id,
             package.command_reply(
-                number,
+                transaction_id,
                 "-",
                 "ServiceChange",
                 command.termination,
-                inside=f"Services{{Profile={package.PROFILE},ptc/run={self.run_name},"
-                f"ptl/mwd={self.storms.waiting_delay(len(self.askers.known))}}}",
+                inside=f"Services{{Profile={package.PROFILE},ptc/run={self.run_id},"
+                f"ptl/mwd={self.storms.waiting_delay(len(self.requesters.known))}}}",
             ),
         )
 
-    # The list.
+    # Exchange list.
 
     def follow_list(self) -> Coroutine[None]:
-        links, draw = self.settings.links, self.kernel.chance("list")
+        """Receives the exchange list from the address `list`, and reconnects with exponential backoff."""
+        links, rng = self.settings.links, self.kernel.chance("list")
         wait = links.retry_least
         while True:
-            why = ""
+            reason = ""
             try:
                 stream = yield from self.kernel.connect(
                     self.settings.list, links.dial_timeout, self.settings.label
                 )
                 stream.write(f"{self.settings.label}\n".encode())
-                held = b""
+                buffer = b""
                 while True:
                     data = yield from stream.read()
                     if not data:
-                        raise Lost("the list's source closed")
-                    *lines, held = (held + data).split(b"\n")
-                    if len(held) > listing.MOST_LINE:
-                        raise listing.BadLine(f"a line longer than {listing.MOST_LINE} bytes")
+                        raise Lost("the list source closed the connection")
+                    *lines, buffer = (buffer + data).split(b"\n")
+                    if len(buffer) > listing.MOST_LINE:
+                        raise listing.BadLine(f"line longer than {listing.MOST_LINE} bytes")
                     for line in lines:
-                        read = listing.read_line(line)
-                        self.listed(read.form, read.entries)
+                        list_line = listing.read_line(line)
+                        self.apply_list(list_line.form, list_line.entries)
                         wait = links.retry_least
-            except (Refused, Lost) as fault:
-                why = str(fault)
-            except listing.BadLine as fault:
-                why = f"bad line: {fault}"
+            except (Refused, Lost) as error:
+                reason = str(error)
+            except listing.BadLine as error:
+                reason = f"bad line: {error}"
                 stream.close()
-            self.log("warning", "no list", why=why)
-            yield from self.kernel.sleep(round(wait * (1 + draw.random()) / 2))
+            self.log("warning", "no list", why=reason)
+            yield from self.kernel.sleep(round(wait * (1 + rng.random()) / 2))
             wait = min(2 * wait, links.retry_most)
 
     def registry(self) -> Registry:
-        links, given = self.settings.links, self.settings.registry
+        """The client that follows the exchange list in the key-value registry."""
+        links, registry_settings = self.settings.links, self.settings.registry
         return Registry(
             self.kernel,
-            given.endpoints,
-            given.prefix,
-            self.registered,
+            registry_settings.endpoints,
+            registry_settings.prefix,
+            self.on_registry_update,
             self.log,
             self.counts.add,
             self.settings.label,
             links.dial_timeout,
-            given.answer_timeout,
-            given.quiet,
-            given.retry_least,
-            given.retry_most,
+            registry_settings.answer_timeout,
+            registry_settings.quiet,
+            registry_settings.retry_least,
+            registry_settings.retry_most,
         )
 
-    def registered(self, whole: bool, told: Told) -> None:
-        """What the roll says, as the list's rows. `started` is told by a clock that may be set: an age that
-        can't be is none."""
+    def on_registry_update(self, is_full: bool, update: Told) -> None:
+        """Applies an update of the registry as rows of the exchange list.
+
+        The start time is wall-clock time, which may be adjusted: an impossible age counts as unknown.
+        """
         rows = []
-        for member in told.members:
+        for member in update.members:
             entry = member.entry
             age = self.kernel.wall() - round(entry.started * 1e9) if entry.started else -1
             if not 0 <= age < 10**18:
                 age = -1
             rows.append(listing.Row(member.name, entry.number, entry.state, entry.address, entry.zone, age))
-        self.listed("full" if whole else "delta", rows)
+        self.apply_list("full" if is_full else "delta", rows)
+
+    def apply_list(self, form: str, rows: list[listing.Row]) -> None:
+        """Applies rows of the exchange list, and opens and closes links to match.
 
-    def listed(self, form: str, rows: list[listing.Row]) -> None:
+        `form`: 'full' and 'cached' lists have all exchanges, 'delta' the changed ones; 'failed' reports that
+        the list could not be read.
+        """
         now = self.kernel.now()
         if form == "failed":
             self.post(api.Listed("failed"))
@@ -737,7 +831,8 @@
         for name, row in list(self.entries.items()):
             link = self.links.get(name)
             if row.state == "gone":
-                # Its link stays while calls stand there or releases are owed; the sweep of links ends it.
+                # The link stays until another exchange has the number and no call stands over it (see
+                # `drop_link`); each update of the list checks again.
                 if link is not None and self.numbers.get(row.number) != name:
                     self.drop_link(name, link)
             elif row.address and link is None:
@@ -749,8 +844,8 @@
                     row.address,
                     self.mid,
                     self.log,
-                    self.first,
-                    self.run_name,
+                    self.first_transaction_id,
+                    self.run_id,
                 )
             elif link is not None and row.address and link.address != row.address:
                 link.address = row.address
@@ -758,17 +853,19 @@
             if row.number in self.groups:
                 self.report_group(self.groups[row.number])
         if form != "cached":
-            self.keep_list(now)
+            self.save_list(now)
 
     def drop_link(self, name: str, link: Link) -> None:
-        if not any(one.link is link for one in self.terminations.values()):
+        """Closes the link to a removed exchange, unless a route try or a standing call uses it."""
+        if not any(route_try.link is link for route_try in self.terminations.values()):
             link.close()
             del self.links[name]
             self.entries.pop(name, None)
 
-    def keep_list(self, now: int) -> None:
+    def save_list(self, now: int) -> None:
+        """Saves the list for the next start; a failure is only logged."""
         rows = [row for row in self.entries.values() if row.state != "gone"]
         try:
             self.store.save(listing.pack(now, rows))
-        except OSError as fault:
-            self.log("warning", "the list was not kept", why=str(fault))
+        except OSError as error:
+            self.log("warning", "exchange list not saved", why=str(error))
--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -1,4 +1,4 @@
-"""What the H.248 front holds of each call and of each route try, beside what the core does."""
+"""State of calls and route tries that only the H.248 front end needs, in addition to `calls.core`."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 
 if TYPE_CHECKING:
     from peattrestle.agent.link import Link
-    from peattrestle.agent.requester import Asker
+    from peattrestle.agent.requester import Requester
 
 
 @dataclass(slots=True, kw_only=True)
 class RouteTry(core.RouteTry):
-    """`transaction` is open at the link until its reply; `context` is the exchange's, once it stands."""
+    """A set-up sent to an exchange.
+
+    `transaction` is the id of the request, open until its reply. `context` is the exchange's context of the
+    call, `*` until the reply has it.
+    """
 
     link: Link
     termination: str
@@ -27,11 +31,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Call(core.Call[RouteTry]):
-    """`transaction` is the asker's; its reply is the call's one final answer."""
+    """A call requested by `asker`; the reply to `transaction` is the call's one final answer.
+
+    `pending_timer` sends H.248's Pending where the answer takes longer.
+    """
 
-    asker: Asker
+    asker: Requester
     transaction: int
     asked: SetUpAsked
-    pending: Timer | None = None
-    held: bool = False  # at the door, to its gateway's share
-    seen: Seen | None = None  # first or further try; None in transit
+    pending_timer: Timer | None = None
+    over_share: bool = False  # not admitted: its gateway is over its share
+    seen: Seen | None = None  # first try or retry; None in transit
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -1,4 +1,8 @@
-"""A link to one exchange: made, kept alive, made again after growing, drawn waits."""
+"""A link to one exchange: an H.248 connection that is kept alive and re-established when it is lost.
+
+Reconnects use exponential backoff with jitter. Subtracts (releases) are sent until the exchange has confirmed
+them, over a new connection if need be.
+"""
 
 from __future__ import annotations
 
@@ -14,238 +18,281 @@
 from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
 from peattrestle.settings.agent import Agent as Settings
 
-MOST_OWED = 10_000
-RELEASE_REPEAT_MOST = 30_000_000_000
+MAX_PENDING_RELEASES = 10_000  # releases that wait for a connection, for one exchange
+MAX_RELEASE_REPEAT_INTERVAL = 30_000_000_000  # nanoseconds
 
 
-class Owner(Protocol):
-    """What a link tells the agent."""
+class LinkObserver(Protocol):
+    """Receives the events of links."""
 
-    def link_up(self, link: Link) -> None: ...
-    def link_lost(self, link: Link, tries: list[RouteTry], why: str) -> None: ...
-    def link_heard(self, link: Link, heard: Heard) -> None: ...
+    def on_link_up(self, link: Link) -> None: ...
+    def on_link_lost(self, link: Link, route_tries: list[RouteTry], reason: str) -> None: ...
+    def on_link_event(self, link: Link, event: Heard) -> None: ...
 
 
 class Release:
-    """A Subtract under way: kept until its reply has come, sent again, over a new connection if need be."""
+    """A Subtract that is sent again until it has a reply, over a new connection if need be.
+
+    `transaction` is the id of its open request; `attempts` counts the times it was sent over this connection.
+    """
 
-    __slots__ = ("context", "termination", "call", "exchange", "sent", "timer", "transaction")
+    __slots__ = ("context", "termination", "call", "exchange", "attempts", "timer", "transaction")
 
     def __init__(self, context: str, termination: str, call: int, exchange: str) -> None:
         self.context, self.termination = context, termination
         self.call, self.exchange = call, exchange
-        self.sent = 0
+        self.attempts = 0
         self.timer: Timer | None = None
         self.transaction = 0
 
 
 class Link:
-    """`address` may change while it lives; `ready` is set once the first attempt has ended either way."""
+    """A link to the exchange named `exchange`; its task starts at once.
+
+    `address` may change at any time and applies to the next connection attempt. `up`: the exchange has sent
+    something over this connection. `first_attempt_done`: the first connection attempt succeeded or failed.
+    """
 
     def __init__(
         self,
         kernel: Kernel,
         settings: Settings,
-        owner: Owner,
+        observer: LinkObserver,
         exchange: str,
         address: str,
         mid: str,
         log: Callable[..., None],
-        first: int,
-        run: str,
+        first_transaction_id: int,
+        run_id: str,
     ) -> None:
-        self.kernel, self.settings, self.owner = kernel, settings, owner
+        self.kernel, self.settings, self.observer = kernel, settings, observer
         self.exchange, self.address, self.mid, self.log = exchange, address, mid, log
-        self.run_name = run
+        self.run_id = run_id
         limits = settings.limits
-        self.transactions = Transactions(first, limits.open_requests, limits.kept_replies)
+        self.transactions = Transactions(first_transaction_id, limits.open_requests, limits.kept_replies)
         self.session: Session | None = None
         self.stream: Stream | None = None
-        self.up = self.tried = self.closing = False
-        self.draw = kernel.chance(f"link/{exchange}")
-        self.heard_at = self.greeted_at = 0
-        self.audits = 0
-        self.owed: deque[Release] = deque()
+        self.up = self.first_attempt_done = self.closing = False
+        self.rng = kernel.chance(f"link/{exchange}")
+        self.last_received_at = self.hello_sent_at = 0
+        self.unanswered_audits = 0
+        self.pending_releases: deque[Release] = deque()
         self.releases: dict[int, Release] = {}
-        self.wanted = Event(kernel)  # a call asks for it while it waits to be made
+        self.connect_requested = Event(kernel)  # set by a call that needs the link before its first attempt
         self.task = kernel.spawn(self.run(), f"link {exchange}")
 
     def run(self) -> Coroutine[None]:
+        """Connects, and reconnects after each loss, until `close`."""
         links, wait = self.settings.links, self.settings.links.retry_least
         if links.restart_wait:
-            # H.248.1's restart avalanche procedure: a drawn wait, ended by a user's wish.
+            # Restart avalanche procedure of H.248.1: a random wait, cut short when a call needs the link.
             with contextlib.suppress(TimedOut):
-                yield from self.kernel.within(self.draw.randint(0, links.restart_wait), self.wanted.wait())
+                yield from self.kernel.within(
+                    self.rng.randint(0, links.restart_wait), self.connect_requested.wait()
+                )
         while not self.closing:
-            why = ""
+            reason = ""
             try:
                 stream = yield from self.kernel.connect(self.address, links.dial_timeout, self.settings.label)
-            except (Refused, ValueError) as fault:
-                why = str(fault)
+            except (Refused, ValueError) as error:
+                reason = str(error)
             else:
                 started = self.kernel.now()
-                why = yield from self.converse(stream)
+                reason = yield from self.run_session(stream)
                 stream.close()
                 if self.kernel.now() - started > links.retry_most:
                     wait = links.retry_least
-            self.tried = True
-            self.down(why)
+            self.first_attempt_done = True
+            self.on_disconnected(reason)
             if self.closing:
                 return
-            # Drawn from half to all of it: links that were lost together must not come back together.
-            yield from self.kernel.sleep(round(wait * (1 + self.draw.random()) / 2))
+            # Jitter, from half of the wait to all of it: links lost together must not reconnect together.
+            yield from self.kernel.sleep(round(wait * (1 + self.rng.random()) / 2))
             wait = min(2 * wait, links.retry_most)
 
-    def converse(self, stream: Stream) -> Coroutine[str]:
+    def run_session(self, stream: Stream) -> Coroutine[str]:
+        """Sends the hello and handles what is received until the connection ends; returns why it ended."""
         self.stream = stream
         self.session = session = Session(
             self.mid, self.transactions, stream.write, self.settings.limits.message
         )
-        hello = session.request("hello", self.hello_text)
+        hello_id = session.request("hello", self.hello_text)
         self.kernel.at(
-            self.kernel.now() + self.settings.links.release_repeat, lambda: self.hello_again(session, hello)
+            self.kernel.now() + self.settings.links.release_repeat,
+            lambda: self.resend_hello(session, hello_id),
         )
-        self.heard_at = self.greeted_at = self.kernel.now()
-        self.audits = 0
-        keeper = self.kernel.spawn(self.keep_alive(stream), f"keepalive {self.exchange}")
+        self.last_received_at = self.hello_sent_at = self.kernel.now()
+        self.unanswered_audits = 0
+        keepalive_task = self.kernel.spawn(self.keep_alive(stream), f"keepalive {self.exchange}")
         try:
             while True:
                 data = yield from stream.read()
                 if not data:
                     return "the exchange closed the link"
-                self.heard_at, self.audits = self.kernel.now(), 0
-                heard = session.feed(self.heard_at, data)
+                self.last_received_at, self.unanswered_audits = self.kernel.now(), 0
+                events = session.feed(self.last_received_at, data)
                 if not self.up:
-                    self.up = self.tried = True
-                    self.owner.link_up(self)
-                    while self.owed:
-                        self.send_release(self.owed.popleft())
-                for one in heard:
-                    self.owner.link_heard(self, one)
+                    self.up = self.first_attempt_done = True
+                    self.observer.on_link_up(self)
+                    while self.pending_releases:
+                        self.send_release(self.pending_releases.popleft())
+                for event in events:
+                    self.observer.on_link_event(self, event)
                 if stream.unsent > self.settings.limits.unread:
                     stream.abort()
-                    return f"it left {stream.unsent} bytes unread"
-        except Lost as fault:
-            return str(fault)
-        except BadPeer as fault:
-            return f"bad peer: {fault}"
+                    return f"exchange left {stream.unsent} bytes unread"
+        except Lost as error:
+            return str(error)
+        except BadPeer as error:
+            return f"bad peer: {error}"
         finally:
-            keeper.cancel()
+            keepalive_task.cancel()
 
-    def hello_text(self, number: int) -> str:
+    def hello_text(self, transaction_id: int) -> str:
+        """The ServiceChange that opens a connection."""
         return package.service_change_text(
-            number,
+            transaction_id,
             "Restart",
             "901 Cold Boot",
-            f"Version=1,ptc/num={self.settings.number},ptc/run={self.run_name}",
+            f"Version=1,ptc/num={self.settings.number},ptc/run={self.run_id}",
         )
 
-    def hello_again(self, session: Session, number: int) -> None:
-        """Until it is answered: the answer alone tells that the exchange has started anew, and so that it is
-        cold, and that what was set up before is gone. The same transaction: it is carried out once."""
-        if self.session is session and self.transactions.open.get(number) == "hello":
-            session.send(self.hello_text(number))
-            again = self.kernel.now() + self.settings.links.release_repeat
-            self.kernel.at(again, lambda: self.hello_again(session, number))
+    def resend_hello(self, session: Session, transaction_id: int) -> None:
+        """Sends the hello again, every `release_repeat`, until it is answered.
+
+        Only the answer says that the exchange has restarted: that it is cold and has lost its calls. The
+        transaction id stays the same, so that the exchange carries it out once.
+        """
+        if self.session is session and self.transactions.open.get(transaction_id) == "hello":
+            session.send(self.hello_text(transaction_id))
+            resend_at = self.kernel.now() + self.settings.links.release_repeat
+            self.kernel.at(resend_at, lambda: self.resend_hello(session, transaction_id))
 
     def keep_alive(self, stream: Stream) -> Coroutine[None]:
-        """Two audits without any answer end the link: a peer that accepts and never speaks is no link."""
+        """Audits an idle connection every `keepalive`, and aborts it after two audits without an answer.
+
+        This detects a peer that accepts connections but never answers.
+        """
         period = self.settings.links.keepalive
         while True:
             yield from self.kernel.sleep(period)
-            if self.kernel.now() - self.heard_at < period:
+            if self.kernel.now() - self.last_received_at < period:
                 continue
-            if self.audits >= 2:
+            if self.unanswered_audits >= 2:
                 stream.abort()
                 return
-            self.audits += 1
+            self.unanswered_audits += 1
             if self.session is not None:
                 try:
                     self.session.request(
                         None,
-                        lambda number: (f"Transaction={number}{{Context=-{{AuditValue=ROOT{{Audit{{}}}}}}}}"),
+                        lambda transaction_id: (
+                            f"Transaction={transaction_id}{{Context=-{{AuditValue=ROOT{{Audit{{}}}}}}}}"
+                        ),
                     )
                 except Full:
                     stream.abort()
                     return
 
-    def down(self, why: str) -> None:
+    def on_disconnected(self, reason: str) -> None:
+        """Queues unconfirmed releases for the next connection, and reports the open route tries as lost."""
         self.session = self.stream = None
-        tries = [kept for kept in self.transactions.lost() if isinstance(kept, RouteTry)]
+        route_tries = [sent_for for sent_for in self.transactions.lost() if isinstance(sent_for, RouteTry)]
         for release in self.releases.values():
             if release.timer is not None:
                 release.timer.cancel()
-            self.owe(release)
+            self.queue_release(release)
         self.releases.clear()
         was_up, self.up = self.up, False
-        if was_up or tries:
-            self.owner.link_lost(self, tries, why)
+        if was_up or route_tries:
+            self.observer.on_link_lost(self, route_tries, reason)
 
     # Set-ups and releases.
 
-    def set_up(self, one: RouteTry, asked: package.SetUpAsked) -> bool:
-        """False where the link is down or has no room: nothing was sent."""
+    def set_up(self, route_try: RouteTry, request: package.SetUpAsked) -> bool:
+        """Sends a set-up. False where the link is down or has too many open requests: nothing was sent."""
         if self.session is None or not self.up:
-            self.wanted.set()
+            self.connect_requested.set()
             return False
         try:
-            one.transaction = self.session.request(one, lambda number: package.add_text(number, asked))
+            route_try.transaction = self.session.request(
+                route_try, lambda transaction_id: package.add_text(transaction_id, request)
+            )
         except Full:
             return False
         return True
 
     def release(self, context: str, termination: str, call: int) -> None:
+        """Releases a termination at the exchange; retries until the exchange confirms it."""
         self.send_release(Release(context, termination, call, self.exchange))
 
     def send_release(self, release: Release) -> None:
+        """Sends a release as a new request, or queues it where that is not possible now."""
         if self.session is None or not self.up:
-            self.owe(release)
+            self.queue_release(release)
             return
         try:
             release.transaction = self.session.request(
-                release, lambda number: package.subtract_text(number, release.context, release.termination)
+                release,
+                lambda transaction_id: package.subtract_text(
+                    transaction_id, release.context, release.termination
+                ),
             )
         except Full:
-            self.owe(release)
+            self.queue_release(release)
             return
         self.releases[release.transaction] = release
-        self.await_reply(release)
+        self.schedule_resend(release)
+
+    def schedule_resend(self, release: Release) -> None:
+        """Schedules the next attempt of a sent release, with exponential backoff, while the link is up.
 
-    def await_reply(self, release: Release) -> None:
-        """It is asked again, ever more seldom, for as long as the link stands: what it frees is freed by
-        nothing else, and a region may be cut off for long. The same transaction: it is carried out once."""
-        wait = min(self.settings.links.release_repeat << min(release.sent, 10), RELEASE_REPEAT_MOST)
-        release.sent += 1
-        release.timer = self.kernel.at(self.kernel.now() + wait, lambda: self.unconfirmed(release))
+        Nothing else frees the circuits, and a region may be unreachable for long, so there is no limit on
+        attempts. The transaction id stays the same, so that the exchange carries it out once.
+        """
+        wait = min(
+            self.settings.links.release_repeat << min(release.attempts, 10), MAX_RELEASE_REPEAT_INTERVAL
+        )
+        release.attempts += 1
+        release.timer = self.kernel.at(self.kernel.now() + wait, lambda: self.resend_release(release))
 
-    def unconfirmed(self, release: Release) -> None:
+    def resend_release(self, release: Release) -> None:
+        """Sends a release again that has had no reply."""
         if self.session is None or release.transaction not in self.releases:
             return
         self.session.send(package.subtract_text(release.transaction, release.context, release.termination))
-        self.await_reply(release)
+        self.schedule_resend(release)
 
-    def released(self, release: Release, code: int) -> None:
-        """`code`: of the reply. What the exchange does not know is free; any other error is asked again."""
+    def on_release_reply(self, release: Release, code: int) -> None:
+        """Handles the reply to a release. `code`: its error code, 0 for success.
+
+        A termination or context that the exchange does not know is free already; after any other error the
+        release is sent again.
+        """
         if release.timer is not None:
             release.timer.cancel()
         self.releases.pop(release.transaction, None)
         if code not in (0, package.UNKNOWN_TERMINATION, package.UNKNOWN_CONTEXT):
-            wait = min(self.settings.links.release_repeat << min(release.sent, 10), RELEASE_REPEAT_MOST)
+            wait = min(
+                self.settings.links.release_repeat << min(release.attempts, 10), MAX_RELEASE_REPEAT_INTERVAL
+            )
             self.kernel.at(self.kernel.now() + wait, lambda: self.send_release(release))
 
-    def owe(self, release: Release) -> None:
-        release.sent = 0
-        if len(self.owed) >= MOST_OWED:
-            lost = self.owed.popleft()
+    def queue_release(self, release: Release) -> None:
+        """Keeps a release for the next connection; drops the oldest one when the queue is full."""
+        release.attempts = 0
+        if len(self.pending_releases) >= MAX_PENDING_RELEASES:
+            dropped = self.pending_releases.popleft()
             self.log(
                 "warning",
-                "too many releases are owed: one is dropped",
+                "release queue full: oldest release dropped",
                 exchange=self.exchange,
-                termination=lost.termination,
+                termination=dropped.termination,
             )
-        self.owed.append(release)
+        self.pending_releases.append(release)
 
     def close(self) -> None:
+        """Closes the connection and ends the link's task and its timers."""
         self.closing = True
         if self.stream is not None:
             self.stream.close()
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -1,10 +1,21 @@
-"""The storm decisions put to work in the agent: who asks them, and what is done with their answers."""
+"""Overload control of the call agent: storm detection, admission by fair share, rate notices, paced restarts.
+
+A storm is a surge that feeds itself: callers retry calls that were refused (retry), cut calls come back at
+once (return), or many gateways reconnect together (reconnect). Decided here, with the algorithms of the
+package `peattrestle.storms`:
+
+- whether a storm has started or ended, each logged with its evidence and counted (`Watch`);
+- whether a gateway's call is admitted or exceeds the gateway's fair share of the capacity (`Door`);
+- which gateways are sent a notice of the rate that they may offer, and when it is renewed or lifted
+  (`Notices`);
+- when a gateway may restart, and the rate at which connections are accepted (`restarts.Gate`).
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
-from peattrestle.agent.requester import Asker
+from peattrestle.agent.requester import Requester
 from peattrestle.h248 import package
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.settings.agent import Limits
@@ -13,12 +24,16 @@
 from peattrestle.storms.shares import Door
 from peattrestle.storms.watch import Storm, Watch
 
-MS = 1_000_000
-LOOK = 250 * MS
+MS = 1_000_000  # nanoseconds
+CHECK_INTERVAL = 250 * MS  # nanoseconds
 
 
 class Storms:
-    """`gateways` gives the askers known now. One for each agent."""
+    """The overload control of one agent.
+
+    `count(name)` increments a counter; `gateways()` returns the requesters known now. All times are
+    nanoseconds.
+    """
 
     def __init__(
         self,
@@ -26,36 +41,38 @@
         limits: Limits,
         log: Callable[..., None],
         count: Callable[[str], None],
-        gateways: Callable[[], Iterable[Asker]],
+        gateways: Callable[[], Iterable[Requester]],
     ) -> None:
         self.kernel, self.limits, self.log, self.count = kernel, limits, log, count
         self.gateways = gateways
         self.watch, self.door = Watch(), Door()
-        # Numbers begin with the clock: a new run's notices must pass for newer than the last one's.
+        # Sequence numbers start from the clock: notices of a new run must count as newer than the last one's.
         self.notices = Notices(kernel.now() // MS)
-        self.gate = restarts.Gate(limits.restarts, max(1, limits.restarts // 4), limits.gateways)
-        self.accepts = restarts.Gate(limits.accepts, limits.accepts, 1)
-        self.draw = kernel.chance("door")
+        self.restart_limiter = restarts.Gate(limits.restarts, max(1, limits.restarts // 4), limits.gateways)
+        self.accept_limiter = restarts.Gate(limits.accepts, limits.accepts, 1)
+        self.rng = kernel.chance("door")
 
     def run(self) -> Coroutine[None]:
+        """Every `CHECK_INTERVAL`, logs storms and changes of the limiting, and sends rate notices."""
         while True:
-            yield from self.kernel.sleep(LOOK)
+            yield from self.kernel.sleep(CHECK_INTERVAL)
             now = self.kernel.now()
             for storm in self.watch.look(now):
-                self.tell_of(storm)
-            held = self.door.held
+                self.log_storm(storm)
+            was_limiting = self.door.held
             self.door.look(now)
-            if self.door.held != held:
+            if self.door.held != was_limiting:
                 self.log(
                     "warning" if self.door.held else "info",
-                    "gateways held to their shares" if self.door.held else "gateways free again",
+                    "gateways limited to their shares" if self.door.held else "gateway limits lifted",
                     carried=round(self.door.stands.rate(now), 1),
                     offered=round(self.watch.offered(now), 1),
                     turned_away=self.door.turned_away,
                 )
             self.send_notices(self.notices.look(now, self.door.notices()))
 
-    def tell_of(self, storm: Storm) -> None:
+    def log_storm(self, storm: Storm) -> None:
+        """Logs the start or the end of a storm; a start is counted as well."""
         if not storm.ended_at:
             self.count(f"storms_{storm.kind}")
             self.log("warning", f"{storm.kind} storm", evidence=storm.evidence)
@@ -69,40 +86,54 @@
             )
 
     def send_notices(self, notices: dict[str, Notice]) -> None:
+        """Sends each connected gateway its notice."""
         if not notices:
             return
-        for asker in self.gateways():
-            notice = notices.get(asker.name)
-            if notice is not None and asker.session is not None:
+        for requester in self.gateways():
+            notice = notices.get(requester.name)
+            if notice is not None and requester.session is not None:
                 self.count("notices" if notice.lifetime else "notices_lifted")
                 event = package.rate_event(notice)
-                asker.tell(lambda number, event=event: package.notify_text(number, "-", "ROOT", [event]))  # type: ignore[misc]
+                requester.notify(
+                    lambda number, event=event: package.notify_text(number, "-", "ROOT", [event])  # type: ignore[misc]
+                )
 
-    def lets(self, gateway: str, worth: float) -> bool:
-        if self.door.lets(self.kernel.now(), gateway, worth, self.draw.random()):
+    def admit(self, gateway: str, revenue: float) -> bool:
+        """Whether a call of `gateway` is within the gateway's share.
+
+        `revenue`: the call's expected revenue; within a share, calls of higher revenue are admitted first.
+        """
+        if self.door.lets(self.kernel.now(), gateway, revenue, self.rng.random()):
             return True
         self.count("held_to_share")
         return False
 
     def accept_after(self) -> int:
-        """Nanoseconds to wait before the next connection is taken; those that wait are the system's."""
-        return self.accepts.comes(self.kernel.now(), "")
+        """Nanoseconds to wait before the next connection is accepted; until then it stays in the backlog."""
+        return self.accept_limiter.comes(self.kernel.now(), "")
 
-    def connected(self, asker: Asker, known: int) -> None:
+    def on_gateway_connected(self, requester: Requester, gateway_count: int) -> None:
+        """Records a reconnection. `gateway_count`: gateways known to the agent."""
         now = self.kernel.now()
-        self.watch.connected(now, known, now - asker.gone_at if asker.gone_at else -1)
-
-    def gone(self, asker: Asker) -> None:
-        self.door.gone(asker.name)
-        self.notices.gone(asker.name)
-
-    def restart_after(self, asker: Asker) -> int:
-        """0: the gateway's ServiceChange is taken; else it is to come again after this."""
-        wait = self.gate.comes(self.kernel.now(), asker.name)
+        self.watch.connected(
+            now, gateway_count, now - requester.disconnected_at if requester.disconnected_at else -1
+        )
+
+    def on_gateway_disconnected(self, requester: Requester) -> None:
+        """Frees the gateway's share and forgets its rate notice."""
+        self.door.gone(requester.name)
+        self.notices.gone(requester.name)
+
+    def restart_after(self, asker: Requester) -> int:
+        """0: the gateway may restart now; else nanoseconds after which it is to retry its ServiceChange."""
+        wait = self.restart_limiter.comes(self.kernel.now(), asker.name)
         if wait:
             self.count("restarts_held_back")
         return wait
 
     def waiting_delay(self, known: int) -> int:
-        """What a gateway is told to spread its next restart over."""
+        """Maximum waiting delay of H.248.1's restart avalanche procedure, in nanoseconds.
+
+        `known`: gateways known to the agent. Each draws the wait before its next restart from zero to this.
+        """
         return restarts.waiting_delay(known, self.limits.restarts)
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds at the door, slow requests, and the log's lines, against an agent on the virtual kernel."""
+"""Limits on the callers' port, slow calls, connection resets and log lines, on the virtual kernel."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Town:
-    """Two exchanges, an agent beside the first, and a hand-made gateway."""
+    """Two exchanges, an agent beside the first, and gateways that the test drives by hand."""
 
     def __init__(self, limits: Limits, log_level: str = "info") -> None:
         self.kernel = VirtualKernel(1, Network(window=8192))
@@ -38,21 +38,23 @@
             self.kernel, settings, lambda level, text, **fields: self.logs.append((level, text, fields))
         )
         self.agent.start()
-        self.heard: list[Heard] = []
+        self.events: list[Heard] = []
 
-    def gateway(self, name: str = "g0", first: int = 1) -> Coroutine[tuple[Session, Stream]]:
+    def gateway(self, name: str = "g0", first_transaction_id: int = 1) -> Coroutine[tuple[Session, Stream]]:
         stream = yield from self.kernel.connect("127.0.0.1:2944", SECOND, name)
-        session = Session(f"<{name}>", Transactions(first), stream.write)
-        session.request("hello", lambda number: package.service_change_text(number, "Restart", "901"))
+        session = Session(f"<{name}>", Transactions(first_transaction_id), stream.write)
+        session.request(
+            "hello", lambda transaction_id: package.service_change_text(transaction_id, "Restart", "901")
+        )
         return session, stream
 
     def listen(self, session: Session, stream: Stream) -> Coroutine[None]:
         while data := (yield from stream.read()):
-            self.heard += session.feed(self.kernel.now(), data)
+            self.events += session.feed(self.kernel.now(), data)
 
     def call(self, session: Session, number: int) -> None:
-        asked = SetUpAsked(f"c/{number}", "line", 1, 3 * SECOND, reference=f"g0/{number}")
-        session.request(number, lambda transaction: package.add_text(transaction, asked))
+        request = SetUpAsked(f"c/{number}", "line", 1, 3 * SECOND, reference=f"g0/{number}")
+        session.request(number, lambda transaction_id: package.add_text(transaction_id, request))
 
     def run(self, body: Coroutine[Any]) -> Any:
         task = self.kernel.spawn(body, "test", watch=False)
@@ -63,15 +65,15 @@
         return task.result
 
     def answers(self) -> dict[int, tuple[int, int]]:
-        out = {}
-        for one in self.heard:
-            if isinstance(one, Answered) and isinstance(one.kept, int):
-                outcome = package.read_outcome(one.reply)
-                out[one.kept] = (outcome.code, outcome.come_back)
-        return out
+        outcomes = {}
+        for event in self.events:
+            if isinstance(event, Answered) and isinstance(event.kept, int):
+                outcome = package.read_outcome(event.reply)
+                outcomes[event.kept] = (outcome.code, outcome.come_back)
+        return outcomes
 
 
-def test_calls_beyond_the_bound_are_refused_at_once_and_told_when_to_come_back() -> None:
+def test_calls_beyond_the_limit_are_refused_at_once_with_retry_advice() -> None:
     town = Town(Limits(calls=2))
 
     def body() -> Coroutine[None]:
@@ -89,7 +91,7 @@
     assert town.agent.counts.values["refused_at_bound"] == 2
 
 
-def test_a_connection_beyond_the_bound_is_closed_and_the_first_goes_on() -> None:
+def test_a_connection_beyond_the_limit_is_closed_and_the_first_stays_open() -> None:
     town = Town(Limits(connections=1))
 
     def body() -> Coroutine[None]:
@@ -97,7 +99,7 @@
         session, stream = yield from town.gateway()
         town.kernel.spawn(town.listen(session, stream), "listen")
         _, second = yield from town.gateway("g1")
-        with contextlib.suppress(Lost):  # the greeting may meet a closed door, which is a reset
+        with contextlib.suppress(Lost):  # sending to the closed port may end in a reset
             assert (yield from second.read()) == b""
         town.call(session, 1)
         yield from town.kernel.sleep(2 * SECOND)
@@ -106,16 +108,16 @@
     assert town.answers()[1][0] == 0
 
 
-def test_a_gateway_that_never_reads_is_cut_off_and_holds_up_nobody() -> None:
+def test_a_gateway_that_never_reads_is_disconnected_and_delays_no_other() -> None:
     town = Town(Limits(unread=4096))
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
-        deaf, deaf_stream = yield from town.gateway("deaf")
+        stalled, stalled_stream = yield from town.gateway("stalled")
         session, stream = yield from town.gateway()
         town.kernel.spawn(town.listen(session, stream), "listen")
         for number in range(2000):
-            deaf.request(
+            stalled.request(
                 None, lambda number: f"Transaction={number}{{Context=-{{AuditValue=ROOT{{Audit{{}}}}}}}}"
             )
             if number % 50 == 0:
@@ -123,7 +125,7 @@
         town.call(session, 1)
         yield from town.kernel.sleep(2 * SECOND)
         with pytest.raises(Lost):
-            while (yield from deaf_stream.read()):
+            while (yield from stalled_stream.read()):
                 pass
 
     town.run(body())
@@ -134,7 +136,7 @@
 @pytest.mark.parametrize(
     "garbage", [b"GET / HTTP/1.1\r\n\r\n", b"\x03\x00\x00\x00", b"\x03\x00\xff\xff" + b"x" * 99]
 )
-def test_nobody_notices_a_stranger(garbage: bytes) -> None:
+def test_garbage_on_one_connection_does_not_affect_other_gateways(garbage: bytes) -> None:
     town = Town(Limits())
 
     def body() -> Coroutine[None]:
@@ -151,7 +153,7 @@
     assert town.agent.counts.values["bad_peers"] == 1
 
 
-def test_a_slow_call_is_said_to_be_under_way_once_and_then_answered() -> None:
+def test_a_slow_call_gets_one_pending_and_then_its_answer() -> None:
     town = Town(Limits(pending_after=200 * MS))
 
     def body() -> Coroutine[None]:
@@ -163,9 +165,9 @@
         yield from town.kernel.sleep(3 * SECOND)
 
     town.run(body())
-    kinds = [type(one).__name__ for one in town.heard if getattr(one, "kept", None) == 1]
+    kinds = [type(event).__name__ for event in town.events if getattr(event, "kept", None) == 1]
     assert kinds == [Slow.__name__, Answered.__name__]
-    assert town.answers()[1][0] == 510  # its try timed out, and a set-up that may be repeated is refused
+    assert town.answers()[1][0] == 510  # the try timed out; a set-up that is safe to repeat is refused
 
 
 def test_debug_lines_carry_call_route_try_and_exchange() -> None:
@@ -188,7 +190,7 @@
 @pytest.mark.parametrize("side", ["exchange", "gateway"])
 @pytest.mark.parametrize("state", ["asked", "out", "stands", "releasing"])
 def test_a_connection_reset_in_each_state_of_a_call(side: str, state: str) -> None:
-    """One final answer at most, none after the caller is gone, and nothing held by anybody in the end."""
+    """At most one final answer, none to a gateway that has gone, and no circuit or call left at the end."""
     town = Town(Limits())
     exchange = town.world.fabric.exchanges[1]
 
@@ -214,17 +216,19 @@
         while state in ("stands", "releasing") and not town.answers():
             yield from town.kernel.sleep(MS)
         if state == "releasing":
-            session.request("end", lambda number: package.subtract_text(number, "*", "c/1"))
+            session.request("end", lambda transaction_id: package.subtract_text(transaction_id, "*", "c/1"))
             yield from town.kernel.sleep(2 * MS)
         if state in ("stands", "releasing"):
             reset(stream)
         yield from town.kernel.sleep(SECOND)
-        again, other = yield from town.gateway(first=1000)  # a gateway that has forgotten what it held
-        town.kernel.spawn(town.listen(again, other), "listen", watch=False)
+        new_session, new_stream = yield from town.gateway(
+            first_transaction_id=1000
+        )  # restarted without its calls
+        town.kernel.spawn(town.listen(new_session, new_stream), "listen", watch=False)
         yield from town.kernel.sleep(3 * SECOND)
 
     town.run(body())
-    answers = [one for one in town.heard if isinstance(one, Answered) and one.kept == 1]
+    answers = [event for event in town.events if isinstance(event, Answered) and event.kept == 1]
     expected = {"gateway": {"asked": 0, "out": 0}}.get(side, {}).get(state, 1)
     assert len(answers) == expected
     assert town.agent.calls == {} and town.agent.terminations == {}
@@ -233,7 +237,7 @@
     assert town.agent.guard.refusals == {} and town.kernel.crashes == []
 
 
-def test_a_caller_who_leaves_in_the_moment_of_asking_is_no_fault_of_the_module() -> None:
+def test_a_call_cancelled_in_the_batch_that_requests_it_is_no_module_fault() -> None:
     town = Town(Limits())
 
     def body() -> Coroutine[None]:
@@ -245,8 +249,8 @@
         parts: list[bytes] = []
         session._write = parts.append
         town.call(session, 1)
-        session.request("end", lambda number: package.subtract_text(number, "*", "c/1"))
-        stream.write(b"".join(parts))  # both in one piece: one wake-up, one batch
+        session.request("end", lambda transaction_id: package.subtract_text(transaction_id, "*", "c/1"))
+        stream.write(b"".join(parts))  # in one write, so that both are in one batch
         yield from town.kernel.sleep(2 * SECOND)
 
     town.run(body())
@@ -255,21 +259,21 @@
     assert town.agent.calls == {} and town.world.fabric.leaks() == 0
 
 
-def test_a_hello_without_an_answer_is_sent_again_and_what_the_exchange_forgot_is_let_go() -> None:
-    """A replaced exchange's answer was lost once, and its agent held calls in transit for nobody."""
+def test_an_unanswered_hello_is_repeated_until_the_restart_is_known() -> None:
+    """Guards against a lost hello reply: the agent misses the restart and keeps transit calls for ever."""
     town = Town(Limits())
     exchange = town.world.fabric.exchanges[0]  # the agent's own
-    told: list[int] = []
+    cold_until: list[int] = []
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
         exchange.restart_cold()
-        exchange.flags.mute = True  # connections are made, and the answer to the hello does not leave
+        exchange.flags.mute = True  # accepts connections but does not answer the hello
         yield from town.kernel.sleep(600 * MS)
         exchange.flags.mute = False
         before = town.agent.guard.exchanges[exchange.name].cold_until
         yield from town.kernel.sleep(3 * SECOND)
-        told.extend((before, town.agent.guard.exchanges[exchange.name].cold_until))
+        cold_until.extend((before, town.agent.guard.exchanges[exchange.name].cold_until))
 
     town.run(body())
-    assert told[0] == 0 and told[1] > 0
+    assert cold_until[0] == 0 and cold_until[1] > 0
--- a/tests/agent/test_shutdown.py
+++ b/tests/agent/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The H.248 front's shutdown, on the virtual kernel: what is held is answered, nothing more is taken."""
+"""Shutdown of the H.248 agent on the virtual kernel: open calls are answered, no others are taken."""
 
 from __future__ import annotations
 
