--- a/peattrestle/agent/mapping.py
+++ b/peattrestle/agent/mapping.py
@@ -1,4 +1,4 @@
-"""The agent's settings as the module's flat map, and replies as the module's outcomes: tables only."""
+"""Translates settings and replies into the terms of the routing module (`interface`, `control`)."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 from peattrestle.h248.package import REFUSED, Outcome
 from peattrestle.settings.agent import Agent
 
-# Cause in a refusal -> result of the route try. A set-up without circuits held nothing: it was never sent on.
-RESULTS = {
+# Cause of a refusal -> result of the route try. 'moot': without a free circuit the set-up was never sent on,
+# and nothing is held for it.
+RESULT_BY_CAUSE = {
     "no_circuit": "moot",
     "turned_back": "full",
     "beyond_full": "full",
@@ -17,11 +18,12 @@
 }
 
 
-def module_settings(agent: Agent) -> dict[str, Any]:
-    rules = agent.rules
-    flat: dict[str, Any] = {
-        "agents": agent.agents,
-        "own_number": agent.number,
+def module_settings(settings: Agent) -> dict[str, Any]:
+    """The routing module's flat settings of an agent."""
+    rules = settings.rules
+    flat_settings: dict[str, Any] = {
+        "agents": settings.agents,
+        "own_number": settings.number,
         "topology": "mesh",
         "discovery": "push",
         "step": rules.answer_margin,
@@ -34,21 +36,21 @@
         "cold_time": rules.cold_time,
         "fall_time": rules.fall_time,
         "fall_multiple": rules.fall_multiple,
-        "repeat_gap": agent.repeat_gap,
-        "bearer_types": tuple(one.label for one in agent.bearer),
+        "repeat_gap": settings.repeat_gap,
+        "bearer_types": tuple(bearer.label for bearer in settings.bearer),
     }
-    for one in agent.bearer:
-        flat[f"gos_target:{one.label}"] = one.gos_target
-        flat[f"abandon_time:{one.label}"] = one.abandon_time
-        flat[f"revenue:{one.label}"] = one.revenue
-        flat[f"late_revenue:{one.label}"] = one.late_revenue
-        flat[f"holding:{one.label}"] = one.holding
-        flat[f"effect:{one.label}"] = one.effect
-    return flat
+    for bearer in settings.bearer:
+        flat_settings[f"gos_target:{bearer.label}"] = bearer.gos_target
+        flat_settings[f"abandon_time:{bearer.label}"] = bearer.abandon_time
+        flat_settings[f"revenue:{bearer.label}"] = bearer.revenue
+        flat_settings[f"late_revenue:{bearer.label}"] = bearer.late_revenue
+        flat_settings[f"holding:{bearer.label}"] = bearer.holding
+        flat_settings[f"effect:{bearer.label}"] = bearer.effect
+    return flat_settings
 
 
 def result_of(outcome: Outcome) -> tuple[str, str]:
     """Result and cause of a route try that was refused or failed."""
     if outcome.code == REFUSED:
-        return RESULTS.get(outcome.cause, "full"), outcome.cause
+        return RESULT_BY_CAUSE.get(outcome.cause, "full"), outcome.cause
     return "error", outcome.cause
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -1,6 +1,8 @@
-"""The exchange list out of a key-value registry: the client's decisions and the roll's, over streams.
+"""Follows the exchange list in a key-value registry (etcd) over HTTP.
 
-One connection at a time, to one endpoint of those given; after a break the next, in an order of its own.
+This module only does the I/O. `Follower` decides what to read and watch, and `Roll` which changes of the list
+take effect. There is one connection at a time; after a failure the next endpoint is tried, in an order that
+each agent shuffles for itself.
 """
 
 from __future__ import annotations
@@ -14,15 +16,19 @@
 from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, TimedOut
 
 Log = Callable[..., None]
-MOST_BODY = 8 << 20
-MOST_LINE = 4 << 20
+MAX_BODY_BYTES = 8 << 20  # of the answer to a read
+MAX_LINE_BYTES = 4 << 20  # of one message of a watch
 
 
 class Registry:
-    """`tell(whole, told)` takes what the roll says, in order. Times in nanoseconds.
+    """The registry client of one agent. All times are nanoseconds.
 
-    `quiet`: a watch that has said nothing for so long is taken up anew from where it was: a half-open
-    connection is told by nothing else, and no change is lost by it.
+    `on_update(is_full, update)` receives the changes of the list in order; the first complete list is full.
+    `count(name)` increments a counter. `label` names the agent to the registry.
+
+    `dial`: connect timeout. `answer`: timeout of a read. `quiet`: idle timeout of a watch; it is resumed on a
+    new connection without losing a change, since a half-open connection is detected in no other way. `least`
+    and `most`: first and longest wait of the backoff after a failure.
     """
 
     def __init__(
@@ -30,7 +36,7 @@
         kernel: Kernel,
         endpoints: tuple[str, ...],
         prefix: str,
-        tell: Callable[[bool, Told], None],
+        on_update: Callable[[bool, Told], None],
         log: Log,
         count: Callable[[str], None],
         label: str,
@@ -40,145 +46,154 @@
         least: int,
         most: int,
     ) -> None:
-        self.kernel, self.tell, self.log, self.count, self.label = kernel, tell, log, count, label
-        self.dial, self.answer_time, self.quiet = dial, answer, quiet
+        self.kernel, self.on_update, self.log, self.count, self.label = kernel, on_update, log, count, label
+        self.dial_timeout, self.answer_timeout, self.idle_timeout = dial, answer, quiet
         self.prefix = prefix.encode()
         self.follower, self.roll = Follower(least, most), Roll(self.prefix)
-        self.draw = kernel.chance("registry")
+        self.rng = kernel.chance("registry")
         self.endpoints = list(endpoints)
-        self.draw.shuffle(self.endpoints)
-        self.was_read = False
+        self.rng.shuffle(self.endpoints)
+        self.initial_read_done = False
 
     def run(self) -> Coroutine[None]:
-        # Agents that start together do not read together.
-        yield from self.kernel.sleep(self.draw.randint(0, self.follower.least))
-        self.kernel.spawn(self.look(), "roll")
-        todo = self.follower.due()
+        """Follows the registry for ever."""
+        # Jitter: agents that start together should not read at the same time.
+        yield from self.kernel.sleep(self.rng.randint(0, self.follower.least))
+        self.kernel.spawn(self.publish_due_changes(), "roll")
+        steps = self.follower.due()
         while True:
-            wanted = self.work(todo)
+            remote_step = self.run_local_steps(steps)
             try:
-                todo = yield from self.perform(wanted)
-            except (Refused, Lost, TimedOut) as fault:
-                todo = self.broke(str(fault) or "no answer in time")
-            except BadAnswer as fault:
+                steps = yield from self.perform_remote_step(remote_step)
+            except (Refused, Lost, TimedOut) as error:
+                steps = self.on_failure(str(error) or "timed out waiting for an answer")
+            except BadAnswer as error:
                 self.count("registry_bad_answers")
-                todo = self.broke(f"bad answer: {fault}")
+                steps = self.on_failure(f"bad answer: {error}")
 
-    def broke(self, why: str) -> list[Do]:
+    def on_failure(self, reason: str) -> list[Do]:
+        """Logs a failure and moves on to the next endpoint; returns the follower's next steps."""
         self.log(
-            "warning", "registry lost", endpoint=self.endpoints[0], why=why, revision=self.follower.revision
+            "warning",
+            "registry lost",
+            endpoint=self.endpoints[0],
+            why=reason,
+            revision=self.follower.revision,
         )
         self.endpoints.append(self.endpoints.pop(0))
-        return self.follower.broken(self.draw.random())
+        return self.follower.broken(self.rng.random())
 
-    def work(self, todo: list[Do]) -> Do:
-        """Carries out what needs no registry; the last of it always does."""
-        for one in todo[:-1]:
-            self.carry_out(one)
-        return todo[-1]
+    def run_local_steps(self, steps: list[Do]) -> Do:
+        """Applies the steps that need no connection, and returns the last one, which always does."""
+        for step in steps[:-1]:
+            self.apply_step(step)
+        return steps[-1]
 
-    def carry_out(self, one: Do) -> None:
+    def apply_step(self, step: Do) -> None:
+        """Applies changes, or the confirmation that nothing has changed, to the roll."""
         now = self.kernel.now()
-        if isinstance(one, Vouch):
+        if isinstance(step, Vouch):
             self.roll.vouch(now)
-        elif isinstance(one, Apply):
-            if one.strange:
-                self.log("warning", "the registry is another than before", why=one.strange)
-            changes = [(change.key, change.value, change.created) for change in one.changes]
-            self.say(self.roll.apply(now, changes), one.whole and not self.was_read)
-            self.was_read |= one.whole
-
-    def say(self, told: Told, whole: bool) -> None:
-        for note in told.notes:
-            self.log("warning", note, origin="registry")
-        if told.members or whole:
-            self.tell(whole, told)
-
-    def look(self) -> Coroutine[None]:
-        """Doubt that has lasted and returns that were put off."""
+        elif isinstance(step, Apply):
+            if step.strange:
+                self.log("warning", "connected to another registry than before", why=step.strange)
+            changes = [(change.key, change.value, change.created) for change in step.changes]
+            self.publish(self.roll.apply(now, changes), step.whole and not self.initial_read_done)
+            self.initial_read_done |= step.whole
+
+    def publish(self, update: Told, is_full: bool) -> None:
+        """Logs the roll's warnings and passes on its changes, if any."""
+        for warning in update.notes:
+            self.log("warning", warning, origin="registry")
+        if update.members or is_full:
+            self.on_update(is_full, update)
+
+    def publish_due_changes(self) -> Coroutine[None]:
+        """Publishes changes that come due with time: doubtful removals and delayed returns."""
         while True:
             yield from self.kernel.sleep(250_000_000)
             due = self.roll.due()
             if 0 <= due <= self.kernel.now():
-                self.say(self.roll.look(self.kernel.now()), False)
+                self.publish(self.roll.look(self.kernel.now()), False)
 
-    def perform(self, wanted: Do) -> Coroutine[list[Do]]:
-        if isinstance(wanted, Wait):
-            yield from self.kernel.sleep(wanted.length)
+    def perform_remote_step(self, step: Do) -> Coroutine[list[Do]]:
+        """Waits, reads or watches; returns the next steps. Raises Refused, Lost, TimedOut, BadAnswer."""
+        if isinstance(step, Wait):
+            yield from self.kernel.sleep(step.length)
             return self.follower.due()
         endpoint = self.endpoints[0]
-        stream = yield from self.kernel.connect(endpoint, self.dial, self.label)
+        stream = yield from self.kernel.connect(endpoint, self.dial_timeout, self.label)
         try:
-            talk = Conversation(endpoint, f"peattrestle/{self.label}")
-            if isinstance(wanted, Read):
-                stream.write(talk.post(etcd.RANGE, etcd.range_of(self.prefix)))
-                body = yield from self.kernel.within(
-                    self.answer_time, self.body(stream, talk), "registry answer"
+            conversation = Conversation(endpoint, f"peattrestle/{self.label}")
+            if isinstance(step, Read):
+                stream.write(conversation.post(etcd.RANGE, etcd.range_of(self.prefix)))
+                result = yield from self.kernel.within(
+                    self.answer_timeout, self.read_answer(stream, conversation), "registry answer"
                 )
-                if isinstance(body, etcd.Failed):
-                    return self.follower.failed(body, self.draw.random())
-                return self.follower.read(etcd.read_range(body))
-            assert isinstance(wanted, Watch)
-            stream.write(talk.post(etcd.WATCH, etcd.watch_of(self.prefix, wanted.since)))
-            return (yield from self.watch(stream, talk))
+                if isinstance(result, etcd.Failed):
+                    return self.follower.failed(result, self.rng.random())
+                return self.follower.read(etcd.read_range(result))
+            assert isinstance(step, Watch)
+            stream.write(conversation.post(etcd.WATCH, etcd.watch_of(self.prefix, step.since)))
+            return (yield from self.follow_watch(stream, conversation))
         finally:
             stream.close()
 
-    def body(self, stream: Stream, talk: Conversation) -> Coroutine[bytes | etcd.Failed]:
-        """A whole answer. Raises Lost, BadAnswer."""
-        held, status = bytearray(), 0
+    def read_answer(self, stream: Stream, conversation: Conversation) -> Coroutine[bytes | etcd.Failed]:
+        """Reads a complete answer, or the error that the registry named. Raises Lost, BadAnswer."""
+        body, status = bytearray(), 0
         while True:
             data = yield from stream.read()
-            for piece in talk.feed(data):
+            for piece in conversation.feed(data):
                 if isinstance(piece, Head):
                     status = piece.status
                 elif isinstance(piece, Part):
-                    held += piece.data
-                    if len(held) > MOST_BODY:
-                        raise BadAnswer(f"an answer of more than {MOST_BODY} bytes")
+                    body += piece.data
+                    if len(body) > MAX_BODY_BYTES:
+                        raise BadAnswer(f"answer longer than {MAX_BODY_BYTES} bytes")
                 elif isinstance(piece, End):
-                    return bytes(held) if status == 200 else etcd.read_failed(bytes(held))
+                    return bytes(body) if status == 200 else etcd.read_failed(bytes(body))
             if not data:
-                raise Lost("closed in mid-answer")
+                raise Lost("connection closed before the end of the answer")
 
-    def watch(self, stream: Stream, talk: Conversation) -> Coroutine[list[Do]]:
-        """Follows a watch until it ends; what comes after it is given back."""
-        lines, status = Lines(MOST_LINE), 0
+    def follow_watch(self, stream: Stream, conversation: Conversation) -> Coroutine[list[Do]]:
+        """Follows a watch until it ends; returns the next steps. Raises Lost, TimedOut, BadAnswer."""
+        lines, status = Lines(MAX_LINE_BYTES), 0
         while True:
             try:
-                data = yield from self.kernel.within(self.quiet, stream.read(), "registry news")
+                data = yield from self.kernel.within(self.idle_timeout, stream.read(), "registry watch")
             except TimedOut:
                 if status != 200:
                     raise
                 self.count("registry_quiet")
                 return self.follower.due()
-            for piece in talk.feed(data):
+            for piece in conversation.feed(data):
                 if isinstance(piece, Head):
                     status = piece.status
                 elif isinstance(piece, Part):
                     for line in lines.feed(piece.data):
-                        todo = self.heard(line, status)
-                        if todo:
-                            return todo
+                        steps = self.handle_watch_line(line, status)
+                        if steps:
+                            return steps
                 elif isinstance(piece, End):
                     rest = lines.end()
-                    todo = self.heard(rest, status) if rest else []
-                    if todo:
-                        return todo
-                    raise Lost("the watch ended")
+                    steps = self.handle_watch_line(rest, status) if rest else []
+                    if steps:
+                        return steps
+                    raise Lost("the registry ended the watch")
             if not data:
-                raise Lost("closed in mid-watch")
+                raise Lost("connection closed during the watch")
 
-    def heard(self, line: bytes, status: int) -> list[Do]:
-        """Carries one line out; what it gives back ends the watch."""
+    def handle_watch_line(self, line: bytes, status: int) -> list[Do]:
+        """Applies one message of the watch; returned steps end the watch. Raises BadAnswer."""
         if status != 200:
-            return self.follower.failed(etcd.read_failed(line), self.draw.random())
-        news = etcd.read_news(line)
-        if isinstance(news, etcd.Failed):
-            return self.follower.failed(news, self.draw.random())
-        todo = self.follower.news(news, self.draw.random())
-        for at, one in enumerate(todo):
-            if isinstance(one, Read | Watch | Wait):
-                return todo[at:]
-            self.carry_out(one)
+            return self.follower.failed(etcd.read_failed(line), self.rng.random())
+        message = etcd.read_news(line)
+        if isinstance(message, etcd.Failed):
+            return self.follower.failed(message, self.rng.random())
+        steps = self.follower.news(message, self.rng.random())
+        for index, step in enumerate(steps):
+            if isinstance(step, Read | Watch | Wait):
+                return steps[index:]
+            self.apply_step(step)
         return []
