--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -34,9 +34,9 @@
 from peattrestle.control import Controller
 from peattrestle.h248 import package
 from peattrestle.h248.package import BadValue, Outcome, SetUpAsked
-from peattrestle.h248.session import BadPeer, Garbled, Heard, Session
+from peattrestle.h248.session import BadPeer, Garbled, Session, SessionEvent
 from peattrestle.h248.text import Action, Command, Reply, Request
-from peattrestle.h248.transactions import Answered, Full, New, Stray, Transactions
+from peattrestle.h248.transactions import Answered, New, Stray, TooManyOpenRequests, Transactions
 from peattrestle.membership.roll import Told
 from peattrestle.runtime import Coroutine, Event, Kernel, Listener, Lost, Refused, Stream
 from peattrestle.settings.agent import Agent as Settings
@@ -414,7 +414,7 @@
 
         False where it had been answered already.
         """
-        if not call.asker.transactions.owes(call.transaction):
+        if not call.asker.transactions.is_unanswered(call.transaction):
             return False
         call.asker.transactions.answer(
             call.transaction, package.outcome_text(call.transaction, call.asked.termination, INTERNAL_ERROR)
@@ -479,7 +479,7 @@
                 self.counts.add("transit_left")
                 self.caller_left(call)
 
-    def on_link_event(self, link: Link, event: Heard) -> None:
+    def on_link_event(self, link: Link, event: SessionEvent) -> None:
         """Handles a reply, a request or a malformed message received over a link."""
         match event:
             case Answered(RouteTry() as route_try, reply):
@@ -636,7 +636,7 @@
                     break
         except Lost as error:
             reason = str(error)
-        except (BadPeer, Full) as error:
+        except (BadPeer, TooManyOpenRequests) as error:
             reason = f"bad peer: {error}"
             self.counts.add("bad_peers")
         finally:
@@ -723,7 +723,7 @@
             for call in list(requester.calls.values()):  # a restarted gateway has lost its calls
                 self.counts.add("orphans_released")
                 self.finish(call)
-            requester.transactions.restarted()
+            requester.transactions.peer_restarted()
             requester.transactions.receive(self.kernel.now(), Request(transaction_id, []))
         requester.reply(
             transaction_id,
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -13,8 +13,8 @@
 
 from peattrestle.agent.calls import RouteTry
 from peattrestle.h248 import package
-from peattrestle.h248.session import BadPeer, Heard, Session
-from peattrestle.h248.transactions import Full, Transactions
+from peattrestle.h248.session import BadPeer, Session, SessionEvent
+from peattrestle.h248.transactions import TooManyOpenRequests, Transactions
 from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
 from peattrestle.settings.agent import Agent as Settings
 
@@ -27,7 +27,7 @@
 
     def on_link_up(self, link: Link) -> None: ...
     def on_link_lost(self, link: Link, route_tries: list[RouteTry], reason: str) -> None: ...
-    def on_link_event(self, link: Link, event: Heard) -> None: ...
+    def on_link_event(self, link: Link, event: SessionEvent) -> None: ...
 
 
 class Release:
@@ -190,7 +190,7 @@
                             f"Transaction={transaction_id}{{Context=-{{AuditValue=ROOT{{Audit{{}}}}}}}}"
                         ),
                     )
-                except Full:
+                except TooManyOpenRequests:
                     stream.abort()
                     return
 
@@ -218,7 +218,7 @@
             route_try.transaction = self.session.request(
                 route_try, lambda transaction_id: package.add_text(transaction_id, request)
             )
-        except Full:
+        except TooManyOpenRequests:
             return False
         return True
 
@@ -238,7 +238,7 @@
                     transaction_id, release.context, release.termination
                 ),
             )
-        except Full:
+        except TooManyOpenRequests:
             self.queue_release(release)
             return
         self.releases[release.transaction] = release
--- a/peattrestle/agent/requester.py
+++ b/peattrestle/agent/requester.py
@@ -8,7 +8,7 @@
 
 from peattrestle.agent.calls import Call
 from peattrestle.h248.session import Session
-from peattrestle.h248.transactions import Full, Transactions
+from peattrestle.h248.transactions import TooManyOpenRequests, Transactions
 from peattrestle.runtime import Stream
 
 
@@ -39,7 +39,7 @@
         It is dropped while the peer is disconnected or has the maximum of open requests unanswered.
         """
         if self.session is not None:
-            with contextlib.suppress(Full):
+            with contextlib.suppress(TooManyOpenRequests):
                 self.session.request(None, build)
 
 
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -1,7 +1,8 @@
-"""One connection's conversation without I/O: bytes in, outcomes out; bytes to send go to `write`.
+"""An H.248 session over one connection, without I/O: bytes in, events out; bytes to send go to `write`.
 
-Garbled messages are answered with an error by themselves; repeats are answered from what is kept. Frames that
-are none, a peer that changes its name, or too many garbled messages in a row raise `BadPeer`: close then.
+Malformed messages are answered with an error, and repeated requests with the kept reply, without the caller.
+Invalid frames, a peer that changes its message identifier, or too many malformed messages in a row raise
+`BadPeer`: the caller is to close the connection.
 """
 
 from __future__ import annotations
@@ -11,115 +12,125 @@
 from typing import Any
 
 from peattrestle.h248 import text, tpkt
-from peattrestle.h248.transactions import Again, Answered, New, Slow, Stray, Transactions
+from peattrestle.h248.transactions import Answered, Duplicate, New, StillPending, Stray, Transactions
 
-MOST_GARBLED = 20
+MAX_MALFORMED_IN_A_ROW = 20
 
 
 class BadPeer(Exception):
-    """The conversation can't go on."""
+    """The peer violates the protocol: the connection is to be closed."""
 
 
 @dataclass(slots=True)
 class Garbled:
-    """A message that could be framed but not read; its error has been sent."""
+    """A message that could not be parsed; the error has been sent to the peer."""
 
     fault: text.Malformed
 
 
-Heard = New | Answered | Slow | Stray | Garbled
+SessionEvent = New | Answered | StillPending | Stray | Garbled
 
 
 class Session:
-    """`bind` is given the peer's message identifier once it is known, and may hand over the transactions that
-    are remembered for it from an earlier connection."""
+    """A session with one peer; `mid` is the own message identifier, `peer` the peer's once it is known.
+
+    `bind(peer)` is called once the peer's message identifier is known, and may return the transactions kept
+    for it from an earlier connection.
+    """
 
     def __init__(
         self,
         mid: str,
         transactions: Transactions,
         write: Callable[[bytes], None],
-        most: int = text.MOST_BYTES,
+        max_message_bytes: int = text.MOST_BYTES,
         bind: Callable[[str], Transactions | None] | None = None,
     ) -> None:
-        self.mid, self.transactions, self.most = mid, transactions, most
+        self.mid, self.transactions, self.max_message_bytes = mid, transactions, max_message_bytes
         self.peer = ""
-        self.garbled = 0
+        self.malformed_in_a_row = 0
         self.messages_in = self.messages_out = 0
         self._write, self._bind = write, bind
-        self._framer = tpkt.Framer(most)
-        self._head = f"MEGACO/{text.VERSION} {mid}\n".encode()
+        self._framer = tpkt.Framer(max_message_bytes)
+        self._header = f"MEGACO/{text.VERSION} {mid}\n".encode()
 
-    def feed(self, now: int, data: bytes) -> list[Heard]:
-        """Raises BadPeer."""
+    def feed(self, now: int, data: bytes) -> list[SessionEvent]:
+        """The events of the messages that `data` completes; `now` in nanoseconds. Raises BadPeer."""
         try:
             messages = self._framer.feed(data)
-        except tpkt.BadFrame as fault:
-            raise BadPeer(str(fault)) from None
-        heard: list[Heard] = []
+        except tpkt.BadFrame as error:
+            raise BadPeer(str(error)) from None
+        events: list[SessionEvent] = []
         for message in messages:
             self.messages_in += 1
             try:
-                parsed = text.parse(message, self.most)
-            except text.Malformed as fault:
-                self._answer_garbled(fault)
-                heard.append(Garbled(fault))
+                parsed = text.parse(message, self.max_message_bytes)
+            except text.Malformed as error:
+                self._answer_malformed(error)
+                events.append(Garbled(error))
                 continue
-            self.garbled = 0
+            self.malformed_in_a_row = 0
             if parsed.mid != self.peer:
-                self._name(parsed.mid)
+                self._set_peer(parsed.mid)
             for part in parsed.parts:
-                outcome = self.transactions.receive(now, part)
-                if isinstance(outcome, Again):
-                    self.send(outcome.text)
-                elif outcome is not None:
-                    heard.append(outcome)
-        return heard
+                event = self.transactions.receive(now, part)
+                if isinstance(event, Duplicate):
+                    self.send(event.text)
+                elif event is not None:
+                    events.append(event)
+        return events
 
     def peek(self, data: bytes) -> list[text.Message]:
-        """The messages that these bytes complete, with nothing done about them, when it is over.
+        """The messages that `data` completes, without handling them, once the session has ended.
 
         Raises BadPeer and Malformed.
         """
         try:
-            return [text.parse(message, self.most) for message in self._framer.feed(data)]
-        except tpkt.BadFrame as fault:
-            raise BadPeer(str(fault)) from None
+            return [text.parse(message, self.max_message_bytes) for message in self._framer.feed(data)]
+        except tpkt.BadFrame as error:
+            raise BadPeer(str(error)) from None
 
-    def _name(self, mid: str) -> None:
+    def _set_peer(self, mid: str) -> None:
         if self.peer:
-            raise BadPeer(f"the peer was {self.peer} and now says that it is {mid}")
+            raise BadPeer(f"the message identifier changed from {self.peer} to {mid}")
         self.peer = mid
         if self._bind is not None:
             self.transactions = self._bind(mid) or self.transactions
 
-    def _answer_garbled(self, fault: text.Malformed) -> None:
-        self.garbled += 1
-        if self.garbled > MOST_GARBLED:
-            raise BadPeer(f"{self.garbled} garbled messages in a row")
-        error = text.error_text((fault.code, str(fault).replace('"', "'")))
-        # A reply where its transaction is known, so that the asker need not wait; else for the message.
-        known = fault.transaction
-        if known is not None and known not in self.transactions.served:
-            self.send(f"Reply={known}{{{error}}}")
-        elif known is None:
-            self.send(error)
+    def _answer_malformed(self, error: text.Malformed) -> None:
+        self.malformed_in_a_row += 1
+        if self.malformed_in_a_row > MAX_MALFORMED_IN_A_ROW:
+            raise BadPeer(f"{self.malformed_in_a_row} malformed messages in a row")
+        error_descriptor = text.error_text((error.code, str(error).replace('"', "'")))
+        # In a Reply where the transaction id is known, so that the peer need not wait for a timeout; else for
+        # the whole message.
+        transaction_id = error.transaction
+        if transaction_id is not None and transaction_id not in self.transactions.served:
+            self.send(f"Reply={transaction_id}{{{error_descriptor}}}")
+        elif transaction_id is None:
+            self.send(error_descriptor)
 
     def send(self, parts: str) -> None:
+        """Sends a message with these transaction parts. Raises ValueError where it does not fit a frame."""
         self.messages_out += 1
-        message = self._head + self.transactions.acks().encode() + parts.encode()
+        message = self._header + self.transactions.acks().encode() + parts.encode()
         self._write(tpkt.frame(message))
 
-    def request(self, kept: Any, build: Callable[[int], str]) -> int:
-        """Sends a request and returns its id. Raises Full, and ValueError where it can't be written."""
-        number = self.transactions.begin(kept)
+    def request(self, attachment: Any, build: Callable[[int], str]) -> int:
+        """Sends the request that `build` writes with its id, and returns the id.
+
+        `attachment` is returned with the reply. Raises TooManyOpenRequests, and ValueError where the request
+        can't be written.
+        """
+        transaction_id = self.transactions.begin(attachment)
         try:
-            self.send(build(number))
+            self.send(build(transaction_id))
         except ValueError:
-            self.transactions.give_up(number)
+            self.transactions.give_up(transaction_id)
             raise
-        return number
+        return transaction_id
 
-    def reply(self, number: int, parts: str) -> None:
-        self.transactions.answer(number, parts)
+    def reply(self, transaction_id: int, parts: str) -> None:
+        """Sends a reply and keeps it for a repeat of the request."""
+        self.transactions.answer(transaction_id, parts)
         self.send(parts)
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -1,12 +1,12 @@
 """Transactions between two ends of a connection (H.248.1 clause 8 and Annex D), without I/O or clock.
 
-One `Transactions` serves one peer, over all its connections: what was carried out is remembered for the long
-timer, so a request that is repeated, also over a new connection, gets the same reply and is not carried out
-again. Bytes to send are returned, never written; times are nanoseconds given by the caller.
+One `Transactions` serves one peer, over all its connections. Replies are kept for the long timer, so that a
+repeated request, also over a new connection, gets the same reply and is carried out only once. Text to send
+is returned, never written; times are nanoseconds given by the caller.
 
-Bounds, and what happens there: open requests (`Full` is raised), remembered replies (the oldest is forgotten:
-its request, repeated after that, would be carried out again, so the bound is far above what one long timer
-sees), acknowledgements held back (sent with the next message).
+Limits, and what happens there: open requests (`TooManyOpenRequests` is raised); kept replies (the oldest is
+evicted, and its request, if repeated after that, is carried out again, so the limit is far above what one
+long timer sees); acknowledgements held back (sent with the next message).
 """
 
 from __future__ import annotations
@@ -17,172 +17,191 @@
 
 from peattrestle.h248.text import Ack, Pending, Reply, Request
 
-SECOND = 1_000_000_000
-LONG_TIMER = 30 * SECOND  # H.248.1 D.1.1: how long a reply is kept for a repeated request
-MOST_ID = (1 << 32) - 1
+SECOND = 1_000_000_000  # nanoseconds
+LONG_TIMER = 30 * SECOND  # nanoseconds; H.248.1 D.1.1: how long a reply is kept for a repeated request
+MAX_ID = (1 << 32) - 1
 
 
-class Full(Exception):
-    """As many requests are open to this peer as may be."""
+class TooManyOpenRequests(Exception):
+    """The limit of open requests to this peer is reached."""
 
 
 @dataclass(slots=True)
-class Served:
-    """A request of the peer's: `reply` is None while it is carried out."""
+class ServedRequest:
+    """A request received from the peer.
 
-    at: int
+    `reply` is None while it is carried out, and empty once the peer has acknowledged the reply.
+    """
+
+    received_at: int
     reply: str | None = None
-    pending_said: bool = False
+    pending_sent: bool = False
 
 
 @dataclass(slots=True)
 class New:
-    """Carry this request out, then call `answer`."""
+    """A new request: carry it out, then call `answer`."""
 
     request: Request
 
 
 @dataclass(slots=True)
-class Again:
-    """A request seen before: send this (its reply, or that it is pending). Nothing is carried out."""
+class Duplicate:
+    """A repeated request: send `text` (its reply, or Pending), and do not carry it out again."""
 
     text: str
 
 
 @dataclass(slots=True)
 class Answered:
-    """The peer's reply to our request, with what was kept for it."""
+    """The peer's reply to a request of ours; `kept` is what was given to `begin`."""
 
     kept: Any
     reply: Reply
 
 
 @dataclass(slots=True)
-class Slow:
-    """The peer says that it is still at our request."""
+class StillPending:
+    """The peer sent Pending for a request of ours; `kept` is what was given to `begin`."""
 
     kept: Any
 
 
 @dataclass(slots=True)
 class Stray:
-    """A reply, or a word of pending, to nothing that is open: late, doubled, or wrong."""
+    """A Reply or Pending for a transaction that is not open: late, repeated, or wrong."""
 
     id: int
 
 
-Outcome = New | Again | Answered | Slow | Stray | None
+ReceiveResult = New | Duplicate | Answered | StillPending | Stray | None
 
 
 class Transactions:
-    def __init__(self, first: int = 1, most_open: int = 10_000, most_kept: int = 100_000) -> None:
-        """`first`: the first id used. An end that restarts starts elsewhere, or says so by ServiceChange."""
-        self._next = first % MOST_ID or 1
-        self.most_open, self.most_kept = most_open, most_kept
+    """The requests to and from one peer.
+
+    `open` has what was attached to each open request of ours, by id; `served` the peer's requests of the last
+    long timer, by id. `evicted_early` counts replies evicted before the long timer had passed.
+    """
+
+    def __init__(
+        self, first_id: int = 1, max_open_requests: int = 10_000, max_kept_replies: int = 100_000
+    ) -> None:
+        """`first_id`: the first id used; after a restart another one, unless a ServiceChange announces it."""
+        self._next_id = first_id % MAX_ID or 1
+        self.max_open_requests, self.max_kept_replies = max_open_requests, max_kept_replies
         self.open: dict[int, Any] = {}
-        self.served: OrderedDict[int, Served] = OrderedDict()
-        self.forgotten_early = 0
+        self.served: OrderedDict[int, ServedRequest] = OrderedDict()
+        self.evicted_early = 0
         self._acks: list[int] = []
 
-    # Our requests.
+    # Requests to the peer.
+
+    def begin(self, attachment: Any) -> int:
+        """Opens a request and returns its id; `attachment` is returned with the reply.
 
-    def begin(self, kept: Any) -> int:
-        """An id for a new request; `kept` comes back with its reply. Raises Full."""
-        if len(self.open) >= self.most_open:
-            raise Full(f"{self.most_open} requests are open")
-        while self._next in self.open:
-            self._next = self._next % MOST_ID + 1
-        number = self._next
-        self._next = number % MOST_ID + 1
-        self.open[number] = kept
-        return number
+        Raises TooManyOpenRequests.
+        """
+        if len(self.open) >= self.max_open_requests:
+            raise TooManyOpenRequests(f"{self.max_open_requests} requests are open")
+        while self._next_id in self.open:
+            self._next_id = self._next_id % MAX_ID + 1
+        transaction_id = self._next_id
+        self._next_id = transaction_id % MAX_ID + 1
+        self.open[transaction_id] = attachment
+        return transaction_id
 
-    def give_up(self, number: int) -> None:
-        """Its reply, should it still come, is a stray."""
-        self.open.pop(number, None)
+    def give_up(self, transaction_id: int) -> None:
+        """Closes an open request; a later reply to it is a `Stray`."""
+        self.open.pop(transaction_id, None)
 
     def lost(self) -> list[Any]:
-        """The connection is gone: all that was open ends here. What was kept for each, oldest first."""
-        kept, self.open = list(self.open.values()), {}
-        return kept
+        """Closes all open requests after a lost connection; returns their attachments, oldest first."""
+        attachments, self.open = list(self.open.values()), {}
+        return attachments
 
     def acks(self) -> str:
-        """Acknowledgements for replies that came, as a text to go before the next message's parts."""
+        """The acknowledgements of received replies, to prepend to the next message; empty below 32."""
         if len(self._acks) < 32:
             return ""
         ranges: list[list[int]] = []
-        for number in sorted(self._acks):
-            if ranges and ranges[-1][1] + 1 == number:
-                ranges[-1][1] = number
+        for transaction_id in sorted(self._acks):
+            if ranges and ranges[-1][1] + 1 == transaction_id:
+                ranges[-1][1] = transaction_id
             else:
-                ranges.append([number, number])
+                ranges.append([transaction_id, transaction_id])
         self._acks = []
-        rows = ",".join(str(low) if low == high else f"{low}-{high}" for low, high in ranges)
-        return f"TransactionResponseAck{{{rows}}}"
+        texts = ",".join(str(low) if low == high else f"{low}-{high}" for low, high in ranges)
+        return f"TransactionResponseAck{{{texts}}}"
 
-    # What came in.
+    # Received parts.
 
-    def receive(self, now: int, part: Request | Reply | Pending | Ack) -> Outcome:
+    def receive(self, now: int, part: Request | Reply | Pending | Ack) -> ReceiveResult:
+        """What a received part means; None where nothing is to be done."""
         if isinstance(part, Reply):
             if part.id not in self.open:
                 return Stray(part.id)
             self._acks.append(part.id)
             return Answered(self.open.pop(part.id), part)
         if isinstance(part, Request):
-            return self._requested(now, part)
+            return self._receive_request(now, part)
         if isinstance(part, Pending):
-            return Slow(self.open[part.id]) if part.id in self.open else Stray(part.id)
+            return StillPending(self.open[part.id]) if part.id in self.open else Stray(part.id)
         for low, high in part.ranges:
             if high - low < len(self.served):
-                numbers = [number for number in range(low, high + 1) if number in self.served]
+                transaction_ids = [
+                    transaction_id for transaction_id in range(low, high + 1) if transaction_id in self.served
+                ]
             else:
-                numbers = [number for number in self.served if low <= number <= high]
-            for number in numbers:
-                if self.served[number].reply is not None:
-                    self.served[number].reply = ""  # known to have been carried out; the words may go
+                transaction_ids = [
+                    transaction_id for transaction_id in self.served if low <= transaction_id <= high
+                ]
+            for transaction_id in transaction_ids:
+                if self.served[transaction_id].reply is not None:
+                    self.served[transaction_id].reply = ""  # only the id is still needed
         return None
 
-    def _requested(self, now: int, request: Request) -> Outcome:
-        self.forget(now)
+    def _receive_request(self, now: int, request: Request) -> ReceiveResult:
+        self.expire(now)
         served = self.served.get(request.id)
         if served is None:
-            if len(self.served) >= self.most_kept:
+            if len(self.served) >= self.max_kept_replies:
                 self.served.popitem(last=False)
-                self.forgotten_early += 1
-            self.served[request.id] = Served(now)
+                self.evicted_early += 1
+            self.served[request.id] = ServedRequest(now)
             return New(request)
         if served.reply is None:
-            return Again(f"Pending={request.id}{{}}")
-        return Again(served.reply) if served.reply else None
+            return Duplicate(f"Pending={request.id}{{}}")
+        return Duplicate(served.reply) if served.reply else None
 
-    def answer(self, number: int, text: str) -> None:
-        """Keeps the reply that the caller now sends. Answering twice is a fault: raises KeyError."""
-        served = self.served.get(number)
+    def answer(self, transaction_id: int, reply: str) -> None:
+        """Keeps the reply that the caller sends. Raises KeyError where the request has a reply already."""
+        served = self.served.get(transaction_id)
         if served is None:
-            return  # the long timer has passed: the reply is sent, and not kept
+            return  # the long timer has passed: the reply need not be kept
         if served.reply is not None:
-            raise KeyError(f"transaction {number} has been answered")
-        served.reply = text
+            raise KeyError(f"transaction {transaction_id} already has a reply")
+        served.reply = reply
 
-    def owes(self, number: int) -> bool:
-        """Whether the peer's request is still without its reply."""
-        served = self.served.get(number)
+    def is_unanswered(self, transaction_id: int) -> bool:
+        """Whether the peer's request has no reply yet."""
+        served = self.served.get(transaction_id)
         return served is not None and served.reply is None
 
-    def forget(self, now: int) -> None:
-        """Drops what is older than the long timer; one still being carried out is kept."""
-        old = now - LONG_TIMER
+    def expire(self, now: int) -> None:
+        """Forgets requests older than the long timer, except those still being carried out."""
+        cutoff = now - LONG_TIMER
         while self.served:
-            number, served = next(iter(self.served.items()))
-            if served.at > old:
+            transaction_id, served = next(iter(self.served.items()))
+            if served.received_at > cutoff:
                 return
             if served.reply is None:
-                # Still carried out: it moves to the young end, as its repeat must not start it anew.
-                self.served.move_to_end(number)
-                served.at = now
+                # Still being carried out: kept as if new, since a repeat must not start it again.
+                self.served.move_to_end(transaction_id)
+                served.received_at = now
             else:
-                del self.served[number]
+                del self.served[transaction_id]
 
-    def restarted(self) -> None:
-        """The peer said that it started anew: its ids may come again for other requests."""
+    def peer_restarted(self) -> None:
+        """Forgets the peer's requests after its restart, since it may use their ids again."""
         self.served.clear()
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -11,8 +11,8 @@
 from peattrestle.agent.agent import CallAgent
 from peattrestle.h248 import package
 from peattrestle.h248.package import SetUpAsked
-from peattrestle.h248.session import Heard, Session
-from peattrestle.h248.transactions import Answered, Slow, Transactions
+from peattrestle.h248.session import Session, SessionEvent
+from peattrestle.h248.transactions import Answered, StillPending, Transactions
 from peattrestle.rehearsal.script import Bearer, Fleet, Script
 from peattrestle.rehearsal.world import World
 from peattrestle.runtime import Coroutine, Lost, Stream
@@ -38,7 +38,7 @@
             self.kernel, settings, lambda level, text, **fields: self.logs.append((level, text, fields))
         )
         self.agent.start()
-        self.events: list[Heard] = []
+        self.events: list[SessionEvent] = []
 
     def gateway(self, name: str = "g0", first_transaction_id: int = 1) -> Coroutine[tuple[Session, Stream]]:
         stream = yield from self.kernel.connect("127.0.0.1:2944", SECOND, name)
@@ -166,7 +166,7 @@
 
     town.run(body())
     kinds = [type(event).__name__ for event in town.events if getattr(event, "kept", None) == 1]
-    assert kinds == [Slow.__name__, Answered.__name__]
+    assert kinds == [StillPending.__name__, Answered.__name__]
     assert town.answers()[1][0] == 510  # the try timed out; a set-up that is safe to repeat is refused
 
 
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -1,4 +1,4 @@
-"""Framing, transactions and sessions: pieces, repeats, strays, bounds."""
+"""Framing, transactions, sessions and packages: partial input, repeats, unexpected replies, limits."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from peattrestle.h248.tpkt import BadFrame, Framer, frame
 from peattrestle.h248.transactions import (
     LONG_TIMER,
-    Again,
     Answered,
-    Full,
+    Duplicate,
     New,
-    Slow,
+    StillPending,
     Stray,
+    TooManyOpenRequests,
     Transactions,
 )
 
@@ -25,10 +25,10 @@
 @pytest.mark.parametrize("step", [1, 2, 3, 5, 100])
 def test_frames_in_any_pieces(step: int) -> None:
     data = frame(b"one") + frame(b"x" * 50) + frame(b"three")
-    framer, out = Framer(), []
-    for at in range(0, len(data), step):
-        out += framer.feed(data[at : at + step])
-    assert out == [b"one", b"x" * 50, b"three"]
+    framer, messages = Framer(), []
+    for offset in range(0, len(data), step):
+        messages += framer.feed(data[offset : offset + step])
+    assert messages == [b"one", b"x" * 50, b"three"]
     assert framer.pending() == 0
 
 
@@ -50,50 +50,50 @@
 def test_a_repeated_request_is_carried_out_once() -> None:
     peer = Transactions()
     assert peer.receive(0, REQUEST) == New(REQUEST)
-    assert peer.receive(1, REQUEST) == Again("Pending=5{}")  # still at it
+    assert peer.receive(1, REQUEST) == Duplicate("Pending=5{}")  # still being carried out
     peer.answer(5, "Reply=5{...}")
-    assert peer.receive(2, REQUEST) == Again("Reply=5{...}")
-    assert peer.receive(LONG_TIMER - 1, REQUEST) == Again("Reply=5{...}")
+    assert peer.receive(2, REQUEST) == Duplicate("Reply=5{...}")
+    assert peer.receive(LONG_TIMER - 1, REQUEST) == Duplicate("Reply=5{...}")
     with pytest.raises(KeyError):
         peer.answer(5, "another")
     peer.receive(3, text.Ack([(1, 9)]))
-    assert peer.receive(4, REQUEST) is None  # its reply has been acknowledged: no words, no work
-    assert peer.receive(2 * LONG_TIMER, REQUEST) == New(REQUEST)  # as long as the profile says, and no longer
+    assert peer.receive(4, REQUEST) is None  # acknowledged: nothing to send, nothing to do
+    assert peer.receive(2 * LONG_TIMER, REQUEST) == New(REQUEST)  # kept for the long timer, no longer
 
 
-def test_one_still_carried_out_is_not_forgotten() -> None:
+def test_a_request_still_being_carried_out_is_not_forgotten() -> None:
     peer = Transactions()
     peer.receive(0, REQUEST)
-    assert peer.receive(3 * LONG_TIMER, REQUEST) == Again("Pending=5{}")
-    assert peer.receive(9 * LONG_TIMER, REQUEST) == Again("Pending=5{}")
+    assert peer.receive(3 * LONG_TIMER, REQUEST) == Duplicate("Pending=5{}")
+    assert peer.receive(9 * LONG_TIMER, REQUEST) == Duplicate("Pending=5{}")
 
 
-def test_replies_out_of_order_late_and_strange() -> None:
-    peer = Transactions(first=(1 << 32) - 2)
+def test_replies_out_of_order_late_and_unknown() -> None:
+    peer = Transactions(first_id=(1 << 32) - 2)
     ids = [peer.begin(name) for name in "abc"]
     assert ids == [(1 << 32) - 2, (1 << 32) - 1, 1]  # 0 is no id
     reply = text.Reply(ids[2])
     assert peer.receive(0, reply) == Answered("c", reply)
     assert peer.receive(0, reply) == Stray(1)  # a second time
-    assert peer.receive(0, text.Pending(ids[0])) == Slow("a")
+    assert peer.receive(0, text.Pending(ids[0])) == StillPending("a")
     peer.give_up(ids[0])
     assert peer.receive(0, text.Reply(ids[0])) == Stray(ids[0])
     assert peer.lost() == ["b"]
     assert peer.receive(0, text.Reply(ids[1])) == Stray(ids[1])
 
 
-def test_bounds_of_transactions() -> None:
-    peer = Transactions(most_open=2, most_kept=3)
+def test_limits_of_transactions() -> None:
+    peer = Transactions(max_open_requests=2, max_kept_replies=3)
     peer.begin(None)
     peer.begin(None)
-    with pytest.raises(Full):
+    with pytest.raises(TooManyOpenRequests):
         peer.begin(None)
-    for number in range(1, 6):
-        peer.receive(0, text.Request(number, REQUEST.actions))
-    assert list(peer.served) == [3, 4, 5] and peer.forgotten_early == 2
+    for transaction_id in range(1, 6):
+        peer.receive(0, text.Request(transaction_id, REQUEST.actions))
+    assert list(peer.served) == [3, 4, 5] and peer.evicted_early == 2
 
 
-def test_acknowledgements_are_gathered() -> None:
+def test_acknowledgements_are_batched() -> None:
     peer = Transactions()
     for _ in range(40):
         peer.receive(0, text.Reply(peer.begin(None)))
@@ -101,9 +101,9 @@
     assert peer.acks() == ""
 
 
-def session() -> tuple[Session, list[bytes]]:
-    out: list[bytes] = []
-    return Session("<a1>", Transactions(), out.append), out
+def make_session() -> tuple[Session, list[bytes]]:
+    sent: list[bytes] = []
+    return Session("<a1>", Transactions(), sent.append), sent
 
 
 def message(body: str, mid: str = "<g1>") -> bytes:
@@ -117,52 +117,54 @@
         ("Dance=1{}", 'Error=403{"line 2, column 1'),
     ],
 )
-def test_a_garbled_message_is_answered_and_the_next_one_read(body: str, answer: str) -> None:
-    one, out = session()
-    heard = one.feed(0, message(body) + message("Transaction=10{Context=-{AuditValue=ROOT}}"))
-    assert isinstance(heard[0], Garbled) and isinstance(heard[1], New)
-    assert answer.split("{")[0] in out[0].decode() and answer.split('"')[-1].split(",")[0] in out[0].decode()
+def test_a_malformed_message_is_answered_and_the_next_one_is_read(body: str, answer: str) -> None:
+    session, sent = make_session()
+    events = session.feed(0, message(body) + message("Transaction=10{Context=-{AuditValue=ROOT}}"))
+    assert isinstance(events[0], Garbled) and isinstance(events[1], New)
+    assert (
+        answer.split("{")[0] in sent[0].decode() and answer.split('"')[-1].split(",")[0] in sent[0].decode()
+    )
 
 
-def test_garbled_without_end_is_given_up() -> None:
-    one, _ = session()
+def test_too_many_malformed_messages_in_a_row_end_the_session() -> None:
+    session, _ = make_session()
     with pytest.raises(BadPeer):
-        one.feed(0, message("Dance") * 30)
+        session.feed(0, message("Dance") * 30)
 
 
-def test_a_peer_keeps_its_name() -> None:
-    one, _ = session()
-    one.feed(0, message("Pending=1{}"))
+def test_a_peer_must_not_change_its_message_identifier() -> None:
+    session, _ = make_session()
+    session.feed(0, message("Pending=1{}"))
     with pytest.raises(BadPeer):
-        one.feed(0, message("Pending=1{}", "<g2>"))
+        session.feed(0, message("Pending=1{}", "<g2>"))
 
 
 def test_a_repeat_over_a_new_connection_gets_the_same_reply() -> None:
-    kept = Transactions()
+    transactions = Transactions()
     answers = []
     for _ in range(2):
-        out: list[bytes] = []
-        one = Session("<a1>", Transactions(), out.append, bind=lambda mid: kept)
-        heard = one.feed(0, message("Transaction=4{Context=-{AuditValue=ROOT}}"))
-        if heard:
-            one.reply(4, "Reply=4{Context=-{AuditValue=ROOT}}")
-        answers.append(out)
+        sent: list[bytes] = []
+        session = Session("<a1>", Transactions(), sent.append, bind=lambda mid: transactions)
+        events = session.feed(0, message("Transaction=4{Context=-{AuditValue=ROOT}}"))
+        if events:
+            session.reply(4, "Reply=4{Context=-{AuditValue=ROOT}}")
+        answers.append(sent)
     assert answers[0] == answers[1] and len(answers[0]) == 1
 
 
-ASKED = SetUpAsked(
+REQUEST_PARAMETERS = SetUpAsked(
     "c/1", "reel-render", 57, 3_600_000_000, "dn.k 2", 2, 9, True, True, True, "team", "g1/1", 3
 )
 
 
-def test_a_set_up_reads_back() -> None:
-    part = text.parse(b"MEGACO/1 x " + package.add_text(8, ASKED).encode()).parts[0]
+def test_a_written_set_up_reads_back() -> None:
+    part = text.parse(b"MEGACO/1 x " + package.add_text(8, REQUEST_PARAMETERS).encode()).parts[0]
     assert isinstance(part, text.Request) and part.id == 8
-    assert package.read_add(part.actions[0].commands[0]) == ASKED
+    assert package.read_add(part.actions[0].commands[0]) == REQUEST_PARAMETERS
 
 
 @pytest.mark.parametrize(
-    ("name", "value", "fault"),
+    ("name", "value", "error"),
     [
         ("ptc/abn", None, "ptc/abn is missing"),
         ("ptc/abn", "0", "ptc/abn"),
@@ -175,12 +177,14 @@
         ("ptc/via", "9" * 30, "ptc/via"),
     ],
 )
-def test_bad_values_of_a_set_up(name: str, value: str | None, fault: str) -> None:
+def test_bad_values_of_a_set_up(name: str, value: str | None, error: str) -> None:
     items = {"ptc/brt": "line", "ptc/dst": "1", "ptc/abn": "5"} | ({name: value} if value is not None else {})
     if value is None:
         del items[name]
-    control = text.Item("LocalControl", None, [text.Item(key, one) for key, one in items.items()])
-    with pytest.raises(BadValue, match=fault):
+    control = text.Item(
+        "LocalControl", None, [text.Item(key, text_value) for key, text_value in items.items()]
+    )
+    with pytest.raises(BadValue, match=error):
         package.read_add(text.Command("Add", "c/1", [text.Item("Media", None, [control])]))
 
 
@@ -192,7 +196,7 @@
         Outcome(530, "-", "failed"),
     ],
 )
-def test_an_outcome_reads_back(outcome: Outcome) -> None:
+def test_a_written_outcome_reads_back(outcome: Outcome) -> None:
     part = text.parse(b"MEGACO/1 x " + package.outcome_text(3, "c/1", outcome).encode()).parts[0]
     assert isinstance(part, text.Reply)
     read = package.read_outcome(part)
@@ -209,12 +213,12 @@
     ("reply", "code"),
     [
         ("Reply=1{Context=5{Add=t}}", 0),
-        ("Reply=1{Context=-{Add=t}}", 500),  # it stands, in no context
+        ("Reply=1{Context=-{Add=t}}", 500),  # success without a context
         ('Reply=1{Error=406{"x"}}', 406),
         ('Reply=1{Context=5{Error=411{"x"}}}', 411),
         ("Reply=1{Context=5}", 500),
     ],
 )
-def test_odd_replies_never_count_as_standing(reply: str, code: int) -> None:
+def test_invalid_replies_never_count_as_success(reply: str, code: int) -> None:
     part = text.parse(f"MEGACO/1 x {reply}".encode()).parts[0]
     assert isinstance(part, text.Reply) and package.read_outcome(part).code == code
