--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -93,7 +93,7 @@
         self.links: dict[str, Link] = {}
         self.entries: dict[str, listing.Row] = {}
         self.numbers: dict[int, str] = {}
-        self.groups: dict[int, package.GroupFree] = {}
+        self.groups: dict[int, package.GroupStatus] = {}
         self.connection_count = 0
         self.tracing = settings.log_level == "debug"
         self.storms = Storms(kernel, limits, log, self.counts.add, self.requesters.known.values)
@@ -595,7 +595,7 @@
             )
         )
 
-    def report_group(self, group: package.GroupFree) -> None:
+    def report_group(self, group: package.GroupStatus) -> None:
         """Reports a trunk group's circuits to the controller and updates the guard's capacity estimate."""
         exchange = self.numbers.get(group.to)
         if exchange is not None and group.to != self.settings.number:
--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -1,9 +1,9 @@
-"""Our own packages on H.248.1, version 1: names, and the few messages of the call path.
+"""The H.248.1 packages of the profile `peattrestle/1`: writes and reads the messages of the call path.
 
 `ptc` (call): the parameters of a set-up in LocalControl, its outcome in Statistics, the event `ptc/cut`.
-`ptg` (trunk groups): event `ptg/fre`, statistics of the group towards the answering exchange.
-`ptp` (processor): load report in Statistics. `ptl` (load limits): the rate a gateway
-may offer, for a time, and when it may restart. The table is in docs/protocol.md. Durations are nanoseconds.
+`ptg` (trunk groups): the event `ptg/fre`, and statistics of the group towards the answering exchange.
+`ptp` (processor): the load report in Statistics. `ptl` (load limits): the rate that a gateway may offer for a
+limited time, and when it may restart. docs/protocol.md has the table. Durations are nanoseconds.
 """
 
 from __future__ import annotations
@@ -13,26 +13,33 @@
 from dataclasses import dataclass
 
 from peattrestle.h248.text import Action, Command, Item, Reply, quoted
-from peattrestle.storms.notice import Notice as Notice  # the codec writes and reads it for both sides
+from peattrestle.storms.notice import Notice as Notice  # re-exported for both ends
 
 PROFILE = "peattrestle/1"
-# Published error codes that the call path uses.
+# Error codes of H.248.8 that the call path uses.
 REFUSED, FAILED = 510, 530  # insufficient resources; temporary network failure
-UNKNOWN_TERMINATION, UNKNOWN_CONTEXT, TWICE = 430, 411, 433
-BAD_VALUE = 449
+UNKNOWN_TERMINATION, UNKNOWN_CONTEXT, TWICE = 430, 411, 433  # TWICE: the termination is already in a context
+BAD_VALUE = 449  # unsupported or unknown parameter value
+# Causes of a refusal, the values of `ptc/cau`.
 CAUSES = frozenset({"no_circuit", "turned_back", "beyond_full", "processor_full", "lines_busy"})
+# Statistic -> key of the load report: free circuits and circuits of the group, processor queue and rate.
 LOAD = {"ptg/fre": "free", "ptg/siz": "size", "ptp/que": "queue", "ptp/rat": "rate"}
-MOST_DURATION = 1 << 62
+MAX_DURATION = 1 << 62  # nanoseconds
 
 
 class BadValue(Exception):
-    """A parameter of ours is missing, or has a value that it can't have; the text says which."""
+    """A parameter of the profile's packages is missing or has an invalid value; the message names it."""
 
 
 @dataclass(slots=True)
 class SetUpAsked:
-    """What an Add asks for. `patience`: nanoseconds until the asker gives up. `reference`: the caller's name
-    of the call, the same in each of its route tries. `origin`: the exchange that sends it, or -1."""
+    """A request to set up a call, the parameters of an Add.
+
+    `patience`: nanoseconds until the requester gives up. `reference`: the caller's reference of the call, the
+    same in each of its route tries. `origin`: the number of the exchange that sends it, or -1. `via`: the
+    number of an exchange that is advised, or -1. `width`: circuits. `repeat`: a retry. `cut_before`: the call
+    was cut before.
+    """
 
     termination: str
     bearer_type: str
@@ -49,40 +56,47 @@
     origin: int = -1
 
 
-def add_text(number: int, asked: SetUpAsked) -> str:
-    """A request with one Add into a new context. Raises ValueError where a name can't be written."""
-    out = [f"ptc/brt={quoted(asked.bearer_type)},ptc/dst={asked.destination},ptc/abn={asked.patience}"]
-    if asked.number:
-        out.append(f"ptc/num={quoted(asked.number)}")
-    if asked.width != 1:
-        out.append(f"ptc/wid={asked.width}")
-    if asked.via >= 0:
-        out.append(f"ptc/via={asked.via}")
-    if asked.origin >= 0:
-        out.append(f"ptc/org={asked.origin}")
-    for name, marked in (("trn", asked.transit), ("rpt", asked.repeat), ("cut", asked.cut_before)):
-        if marked:
-            out.append(f"ptc/{name}=ON")
-    if asked.customer:
-        out.append(f"ptc/cus={quoted(asked.customer)}")
-    if asked.reference:
-        out.append(f"ptc/ref={quoted(asked.reference)}")
+def add_text(transaction_id: int, request: SetUpAsked) -> str:
+    """A request with one Add into a new context. Raises ValueError where a text value can't be written."""
+    parameters = [
+        f"ptc/brt={quoted(request.bearer_type)},ptc/dst={request.destination},ptc/abn={request.patience}"
+    ]
+    if request.number:
+        parameters.append(f"ptc/num={quoted(request.number)}")
+    if request.width != 1:
+        parameters.append(f"ptc/wid={request.width}")
+    if request.via >= 0:
+        parameters.append(f"ptc/via={request.via}")
+    if request.origin >= 0:
+        parameters.append(f"ptc/org={request.origin}")
+    for name, is_set in (("trn", request.transit), ("rpt", request.repeat), ("cut", request.cut_before)):
+        if is_set:
+            parameters.append(f"ptc/{name}=ON")
+    if request.customer:
+        parameters.append(f"ptc/cus={quoted(request.customer)}")
+    if request.reference:
+        parameters.append(f"ptc/ref={quoted(request.reference)}")
     return (
-        f"Transaction={number}{{Context=${{Add={quoted(asked.termination)}"
-        f"{{Media{{LocalControl{{{','.join(out)}}}}}}}}}}}"
+        f"Transaction={transaction_id}{{Context=${{Add={quoted(request.termination)}"
+        f"{{Media{{LocalControl{{{','.join(parameters)}}}}}}}}}}}"
     )
 
 
-def _whole(name: str, value: str | None, least: int, most: int) -> int:
+def _parse_int(name: str, value: str | None, minimum: int, maximum: int) -> int:
     text = value or ""
     digits = text[1:] if text[:1] == "-" else text
-    if not digits.isascii() or not digits.isdigit() or len(digits) > 19 or not least <= int(text) <= most:
-        raise BadValue(f"{name} must be a whole number from {least} to {most}")
+    if (
+        not digits.isascii()
+        or not digits.isdigit()
+        or len(digits) > 19
+        or not minimum <= int(text) <= maximum
+    ):
+        raise BadValue(f"{name} must be a whole number from {minimum} to {maximum}")
     return int(text)
 
 
 def read_add(command: Command) -> SetUpAsked:
-    """Parameters of other packages are passed over. Raises BadValue."""
+    """Reads the parameters of an Add; those of other packages are ignored. Raises BadValue."""
     control = command.find("Media", "LocalControl")
     values: dict[str, str | None] = {}
     for item in control.items or () if control is not None else ():
@@ -90,7 +104,7 @@
             raise BadValue(f"{item.name} is given twice")
         values[item.name] = item.value
 
-    def flag(name: str) -> bool:
+    def parse_flag(name: str) -> bool:
         value = (values.get(name) or "OFF").upper()
         if value not in ("ON", "OFF"):
             raise BadValue(f"{name} must be ON or OFF")
@@ -102,23 +116,28 @@
     return SetUpAsked(
         command.termination,
         values["ptc/brt"] or "",
-        _whole("ptc/dst", values["ptc/dst"], 0, 1 << 31),
-        _whole("ptc/abn", values["ptc/abn"], 1, MOST_DURATION),
+        _parse_int("ptc/dst", values["ptc/dst"], 0, 1 << 31),
+        _parse_int("ptc/abn", values["ptc/abn"], 1, MAX_DURATION),
         values.get("ptc/num") or "",
-        _whole("ptc/wid", values.get("ptc/wid", "1"), 1, 10_000),
-        _whole("ptc/via", values.get("ptc/via", "-1"), -1, 1 << 31),
-        flag("ptc/trn"),
-        flag("ptc/rpt"),
-        flag("ptc/cut"),
+        _parse_int("ptc/wid", values.get("ptc/wid", "1"), 1, 10_000),
+        _parse_int("ptc/via", values.get("ptc/via", "-1"), -1, 1 << 31),
+        parse_flag("ptc/trn"),
+        parse_flag("ptc/rpt"),
+        parse_flag("ptc/cut"),
         values.get("ptc/cus") or "",
         values.get("ptc/ref") or "",
-        _whole("ptc/org", values.get("ptc/org", "-1"), -1, 1 << 31),
+        _parse_int("ptc/org", values.get("ptc/org", "-1"), -1, 1 << 31),
     )
 
 
 @dataclass(slots=True)
 class Outcome:
-    """The reply to an Add. `code` 0: it stands, in `context`. Else refused (510), failed, or an error."""
+    """The reply to an Add. `code` 0: the call stands, in `context`; else REFUSED (510), FAILED or another error.
+
+    `come_back`: nanoseconds after which the caller is advised to retry, 0 for no advice. `wait`:
+    nanoseconds that a full processor asks to wait. `cause`: one of `CAUSES`, or empty. `load`: the load
+    report, with the keys of `LOAD`.
+    """
 
     code: int
     context: str = "-"
@@ -130,45 +149,46 @@
 
 
 def _statistics(outcome: Outcome) -> str:
-    rows = []
+    statistics = []
     if outcome.cause:
-        rows.append(f"ptc/cau={outcome.cause}")
+        statistics.append(f"ptc/cau={outcome.cause}")
     if outcome.come_back:
-        rows.append(f"ptc/cbk={outcome.come_back}")
+        statistics.append(f"ptc/cbk={outcome.come_back}")
     if outcome.wait:
-        rows.append(f"ptc/wai={outcome.wait}")
-    for name, ours in LOAD.items():
-        if outcome.load and ours in outcome.load:
-            rows.append(f"{name}={outcome.load[ours]:.10g}")
-    return f"Statistics{{{','.join(rows)}}}" if rows else ""
+        statistics.append(f"ptc/wai={outcome.wait}")
+    for name, field in LOAD.items():
+        if outcome.load and field in outcome.load:
+            statistics.append(f"{name}={outcome.load[field]:.10g}")
+    return f"Statistics{{{','.join(statistics)}}}" if statistics else ""
 
 
-def outcome_text(number: int, termination: str, outcome: Outcome) -> str:
-    rows = [f'Error={outcome.code}{{"{outcome.text}"}}'] if outcome.code else []
+def outcome_text(transaction_id: int, termination: str, outcome: Outcome) -> str:
+    """The reply to an Add. Raises ValueError where the termination can't be written."""
+    descriptors = [f'Error={outcome.code}{{"{outcome.text}"}}'] if outcome.code else []
     statistics = _statistics(outcome)
     if statistics:
-        rows.append(statistics)
-    braces = "{" + ",".join(rows) + "}" if rows else ""
-    return f"Reply={number}{{Context={outcome.context}{{Add={quoted(termination)}{braces}}}}}"
+        descriptors.append(statistics)
+    braces = "{" + ",".join(descriptors) + "}" if descriptors else ""
+    return f"Reply={transaction_id}{{Context={outcome.context}{{Add={quoted(termination)}{braces}}}}}"
 
 
 def read_load(items: Iterable[Item]) -> dict[str, float]:
-    """The load report among items; what is no number is left out."""
+    """The load report among the items of Statistics; invalid numbers are ignored."""
     load = {}
     for item in items:
-        ours = LOAD.get(item.name)
-        if ours is not None and item.value is not None:
+        field = LOAD.get(item.name)
+        if field is not None and item.value is not None:
             try:
                 value = float(item.value)
             except ValueError:
                 continue
             if 0 <= value < 1e15:
-                load[ours] = value
+                load[field] = value
     return load
 
 
 def read_outcome(reply: Reply) -> Outcome:
-    """What a reply to an Add says. One that says nothing of use counts as an error 500."""
+    """Reads the reply to an Add; one without a command or a valid context counts as an error 500."""
     error, command, context = reply.error, None, "-"
     for action in reply.actions:
         error = error or action.error
@@ -183,125 +203,140 @@
             outcome.code = int(item.value or 500)
             outcome.text = item.items[0].name[1:-1] if item.items else ""
         elif item.name == "Statistics":
-            rows = item.items or []
-            outcome.load = read_load(rows)
-            for one in rows:
-                if one.name == "ptc/cau" and one.value in CAUSES:
-                    outcome.cause = one.value
-                elif one.name in ("ptc/cbk", "ptc/wai") and re.fullmatch(r"[0-9]{1,19}", one.value or ""):
-                    value = min(int(one.value or 0), MOST_DURATION)
-                    if one.name == "ptc/cbk":
+            statistics = item.items or []
+            outcome.load = read_load(statistics)
+            for statistic in statistics:
+                if statistic.name == "ptc/cau" and statistic.value in CAUSES:
+                    outcome.cause = statistic.value
+                elif statistic.name in ("ptc/cbk", "ptc/wai") and re.fullmatch(
+                    r"[0-9]{1,19}", statistic.value or ""
+                ):
+                    value = min(int(statistic.value or 0), MAX_DURATION)
+                    if statistic.name == "ptc/cbk":
                         outcome.come_back = value
                     else:
                         outcome.wait = value
     if outcome.code == 0 and not context.isdigit():
-        outcome.code = 500  # a call that stands has a context of its own
+        outcome.code = 500  # a successful Add has a numbered context
     return outcome
 
 
-def subtract_text(number: int, context: str, termination: str) -> str:
-    """Context `*` where the asker never learned it: the termination's name is the asker's own."""
-    return f"Transaction={number}{{Context={context}{{Subtract={quoted(termination)}}}}}"
+def subtract_text(transaction_id: int, context: str, termination: str) -> str:
+    """A request that releases a termination.
+
+    Context `*` where the requester has not learned it: the termination's name, which it chose, is enough.
+    """
+    return f"Transaction={transaction_id}{{Context={context}{{Subtract={quoted(termination)}}}}}"
 
 
 def command_reply(
-    number: int,
+    transaction_id: int,
     context: str,
     name: str,
     termination: str,
     error: tuple[int, str] | None = None,
     inside: str = "",
 ) -> str:
-    """A reply with one command; `inside` are its descriptors as text."""
+    """A reply with one command; `inside` has its descriptors as text, `error` a code and a text instead."""
     if error is not None:
         inside = f'Error={error[0]}{{"{error[1]}"}}'
     braces = "{" + inside + "}" if inside else ""
-    return f"Reply={number}{{Context={context}{{{name}={quoted(termination)}{braces}}}}}"
+    return f"Reply={transaction_id}{{Context={context}{{{name}={quoted(termination)}{braces}}}}}"
 
 
-def notify_text(number: int, context: str, termination: str, events: Iterable[str]) -> str:
+def notify_text(transaction_id: int, context: str, termination: str, events: Iterable[str]) -> str:
+    """A Notify request with events as text."""
     return (
-        f"Transaction={number}{{Context={context}{{Notify={quoted(termination)}"
+        f"Transaction={transaction_id}{{Context={context}{{Notify={quoted(termination)}"
         f"{{ObservedEvents=0{{{','.join(events)}}}}}}}}}"
     )
 
 
 def group_event(to: int, free: int, size: int) -> str:
+    """The event that reports the circuits of the trunk group to exchange number `to`."""
     return f"ptg/fre{{to={to},free={free},size={size}}}"
 
 
 @dataclass(slots=True, frozen=True)
-class GroupFree:
-    """Circuits of the group to exchange `to`."""
+class GroupStatus:
+    """Free circuits and circuits in all of the trunk group to exchange number `to`."""
 
     to: int
     free: int
     size: int
 
 
-def read_groups(command: Command) -> list[GroupFree]:
-    """Raises BadValue."""
-    out = []
+def read_groups(command: Command) -> list[GroupStatus]:
+    """The trunk group reports in a Notify. Raises BadValue."""
+    groups = []
     observed = command.find("ObservedEvents")
-    for item in observed.items or () if observed is not None else ():
-        if item.name.endswith("ptg/fre"):
-            values = {one.name: one.value for one in item.items or ()}
-            out.append(
-                GroupFree(
+    for event in observed.items or () if observed is not None else ():
+        if event.name.endswith("ptg/fre"):
+            values = {parameter.name: parameter.value for parameter in event.items or ()}
+            groups.append(
+                GroupStatus(
                     *(
-                        _whole(f"ptg/fre {name}", values.get(name), 0, 1 << 31)
+                        _parse_int(f"ptg/fre {name}", values.get(name), 0, 1 << 31)
                         for name in ("to", "free", "size")
                     )
                 )
             )
-    return out
+    return groups
 
 
 def is_cut(command: Command) -> bool:
+    """Whether a Notify reports that the call was cut."""
     observed = command.find("ObservedEvents")
-    return observed is not None and any(one.name.endswith("ptc/cut") for one in observed.items or ())
+    return observed is not None and any(event.name.endswith("ptc/cut") for event in observed.items or ())
 
 
 def rate_event(notice: Notice) -> str:
+    """The event that tells a gateway the rate, in calls a second, that it may offer."""
     return f"ptl/rat{{cps={notice.rate:.3f},val={notice.lifetime},seq={notice.number}}}"
 
 
 def read_rate(command: Command) -> Notice | None:
-    """The notice in a Notify; None where there is none. Raises BadValue."""
+    """The rate notice in a Notify; None where there is none. Raises BadValue."""
     observed = command.find("ObservedEvents")
-    for item in observed.items or () if observed is not None else ():
-        if item.name.endswith("ptl/rat"):
-            values = {one.name: one.value or "" for one in item.items or ()}
+    for event in observed.items or () if observed is not None else ():
+        if event.name.endswith("ptl/rat"):
+            values = {parameter.name: parameter.value or "" for parameter in event.items or ()}
             if re.fullmatch(r"[0-9]{1,9}(\.[0-9]{1,9})?", values.get("cps", "")) is None:
                 raise BadValue("ptl/rat cps must be calls a second, as 12.5")
             return Notice(
                 float(values["cps"]),
-                _whole("ptl/rat val", values.get("val"), 0, MOST_DURATION),
-                _whole("ptl/rat seq", values.get("seq"), 0, 1 << 62),
+                _parse_int("ptl/rat val", values.get("val"), 0, MAX_DURATION),
+                _parse_int("ptl/rat seq", values.get("seq"), 0, 1 << 62),
             )
     return None
 
 
-def service_change_text(number: int, method: str, reason: str, parameters: str = "") -> str:
-    """`method`: Restart, Graceful, Forced, Disconnected or Handoff, as published."""
-    more = f",{parameters}" if parameters else ""
+def service_change_text(transaction_id: int, method: str, reason: str, parameters: str = "") -> str:
+    """A ServiceChange for ROOT; `method` (H.248.1): Restart, Graceful, Forced, Disconnected or Handoff."""
+    suffix = f",{parameters}" if parameters else ""
     return (
-        f"Transaction={number}{{Context=-{{ServiceChange=ROOT{{Services{{Method={method},"
-        f'Reason="{reason}",Profile={PROFILE}{more}}}}}}}}}'
+        f"Transaction={transaction_id}{{Context=-{{ServiceChange=ROOT{{Services{{Method={method},"
+        f'Reason="{reason}",Profile={PROFILE}{suffix}}}}}}}}}'
     )
 
 
 @dataclass(slots=True)
 class ServiceChange:
+    """A ServiceChange; `parameters` has all of its Services descriptor, with names in lower case."""
+
     method: str
     reason: str
     parameters: dict[str, str]
 
 
 def read_service_change(command: Command) -> ServiceChange:
-    """Raises BadValue."""
+    """Reads a ServiceChange. Raises BadValue for an unknown method."""
     services = command.find("Services")
-    values = {one.name.lower(): one.value or "" for one in services.items or ()} if services else {}
+    values = (
+        {parameter.name.lower(): parameter.value or "" for parameter in services.items or ()}
+        if services
+        else {}
+    )
     method = values.get("method", "").capitalize()
     if method not in ("Restart", "Graceful", "Forced", "Disconnected", "Handoff", "Failover"):
         raise BadValue("Method must be one of the published ones")
@@ -309,17 +344,18 @@
 
 
 def refusal(reply: Reply) -> int:
-    """The error code of a reply to one command; 0 where it was carried out."""
+    """The error code of the reply to a request with one command; 0 for success."""
     if reply.error is not None:
         return reply.error[0]
-    found = first_command(reply.actions)
-    if found is None:
+    first = first_command(reply.actions)
+    if first is None:
         return next((action.error[0] for action in reply.actions if action.error is not None), 500)
-    error = found[1].find("Error")
+    error = first[1].find("Error")
     return int(error.value or 500) if error is not None else 0
 
 
 def first_command(actions: Iterable[Action]) -> tuple[Action, Command] | None:
+    """The first command with its action; None where there is no command."""
     for action in actions:
         for command in action.commands:
             return action, command
