--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -132,7 +132,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """The reply to an Add. `code` 0: the call stands, in `context`; else REFUSED (510), FAILED or another error.
+    """The reply to an Add. `code` 0: the call stands, in `context`; else REFUSED (510), FAILED or an error.
 
     `come_back`: nanoseconds after which the caller is advised to retry, 0 for no advice. `wait`:
     nanoseconds that a full processor asks to wait. `cause`: one of `CAUSES`, or empty. `load`: the load
