--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -128,7 +128,9 @@
             if isinstance(step, Read):
                 stream.write(conversation.post(etcd.RANGE, etcd.range_of(self.prefix)))
                 result = yield from self.kernel.within(
-                    self.answer_timeout, self.read_answer(stream, conversation), "registry answer"
+                    self.answer_timeout,
+                    self.read_answer(stream, conversation),
+                    "timed out waiting for the registry's answer",
                 )
                 if isinstance(result, etcd.Failed):
                     return self.follower.failed(result, self.rng.random())
@@ -161,7 +163,9 @@
         lines, status = Lines(MAX_LINE_BYTES), 0
         while True:
             try:
-                data = yield from self.kernel.within(self.idle_timeout, stream.read(), "registry watch")
+                data = yield from self.kernel.within(
+                    self.idle_timeout, stream.read(), "timed out waiting for the watch"
+                )
             except TimedOut:
                 if status != 200:
                     raise
