--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -43,7 +43,7 @@
         mid: str,
         transactions: Transactions,
         write: Callable[[bytes], None],
-        max_message_bytes: int = text.MOST_BYTES,
+        max_message_bytes: int = text.MAX_MESSAGE_BYTES,
         bind: Callable[[str], Transactions | None] | None = None,
     ) -> None:
         self.mid, self.transactions, self.max_message_bytes = mid, transactions, max_message_bytes
--- a/tests/h248/test_text.py
+++ b/tests/h248/test_text.py
@@ -1,4 +1,4 @@
-"""The codec against byte vectors written by hand, and against anything at all."""
+"""The text codec against hand-written byte vectors, malformed messages and random input."""
 
 from __future__ import annotations
 
@@ -129,15 +129,15 @@
 
 @pytest.mark.parametrize(("data", "message"), VECTORS)
 def test_vectors(data: bytes, message: Message) -> None:
-    def plain(one: Message) -> str:
-        return repr(one)
+    def plain(message: Message) -> str:
+        return repr(message)
 
     assert plain(text.parse(data)) == plain(message)
     for short in (False, True):
         assert plain(text.parse(text.write(message, short))) == plain(message)
 
 
-def test_long_and_short_as_written() -> None:
+def test_written_with_long_and_short_tokens() -> None:
     message = Message("<a1>", [ADD, Pending(2), Ack([(1, 2), (9, 9)])])
     assert text.write(message) == (
         b"MEGACO/1 <a1>\nTransaction=7{Context=${Add=c/1{Media{LocalControl{ptc/brt=line}}}}}"
@@ -172,14 +172,14 @@
         (b"MEGACO/1 <a> " + b"T=1{C=-{A=x{M{" + b"ST=1{" * 20, 400, 1, 62, "levels", 1),
     ],
 )
-def test_what_is_wrong_and_where(
+def test_malformed_messages_name_the_error_and_its_place(
     data: bytes, code: int, line: int, column: int, expected: str, transaction: int | None
 ) -> None:
     with pytest.raises(Malformed) as caught:
         text.parse(data)
-    fault = caught.value
-    assert (fault.code, fault.line, fault.column, fault.transaction) == (code, line, column, transaction)
-    assert expected in fault.expected
+    error = caught.value
+    assert (error.code, error.line, error.column, error.transaction) == (code, line, column, transaction)
+    assert expected in error.expected
 
 
 @pytest.mark.parametrize(
@@ -192,7 +192,7 @@
         b"MEGACO/1 <a> " + b";\n" * 8000,
     ],
 )
-def test_bounds(data: bytes) -> None:
+def test_size_limits(data: bytes) -> None:
     with pytest.raises(Malformed):
         text.parse(data)
 
@@ -260,6 +260,6 @@
 
 
 @pytest.mark.parametrize("value", ['a"b', "a\x00", "a\x1f"])
-def test_what_can_not_be_written(value: str) -> None:
+def test_values_that_can_not_be_written(value: str) -> None:
     with pytest.raises(ValueError):
         text.quoted(value)
