--- a/peattrestle/rehearsal/__init__.py
+++ b/peattrestle/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Plays a script against agents and stand-ins, judges the rules from the traffic, reports."""
+"""Plays a script against agents and simulated surroundings, checks the rules from the traffic, reports."""
--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -149,7 +149,7 @@
         yield from kernel.sleep(5 * SECOND)  # releases are confirmed or sent again within this
         world.note_pressure()
         self.leaks = world.fabric.leaks() + sum(
-            1 for exchange in world.fabric.exchanges.values() for _ in exchange.held_circuits()
+            1 for exchange in world.fabric.exchanges.values() for _ in exchange.circuits_in_use()
         )
         self.agents = self.hosts.counts()
         kernel.stop()
--- a/peattrestle/rehearsal/series.py
+++ b/peattrestle/rehearsal/series.py
@@ -62,18 +62,18 @@
     def run(self) -> Coroutine[None]:
         kernel, fabric = self.world.kernel, self.world.fabric
         for exchange in fabric.exchanges.values():
-            self._sent[exchange.name] = exchange.processor.asked
-        self._done = sum(one.processor.done_work for one in fabric.exchanges.values())
+            self._sent[exchange.name] = exchange.processor.set_ups_received
+        self._done = sum(one.processor.completed_work for one in fabric.exchanges.values())
         while True:
             yield from kernel.sleep(SECOND)
             worst, pressed, done = 0, 0.0, 0
             for exchange in fabric.exchanges.values():
                 processor = exchange.processor
-                worst = max(worst, processor.wait())
-                sent = processor.asked - self._sent.get(exchange.name, 0)
-                self._sent[exchange.name] = processor.asked
-                pressed = max(pressed, sent / processor.rate())
-                done += processor.done_work
+                worst = max(worst, processor.expected_wait())
+                sent = processor.set_ups_received - self._sent.get(exchange.name, 0)
+                self._sent[exchange.name] = processor.set_ups_received
+                pressed = max(pressed, sent / processor.set_up_rate())
+                done += processor.completed_work
             self.samples.append((worst / 1_000_000, pressed, float(done - self._done)))
             self._done = done
 
@@ -100,8 +100,13 @@
         out.service = [
             round(got / wanted, 4) if wanted else -1.0 for got, wanted in zip(earned, offered, strict=True)
         ]
-        figures = self.world.fabric.figures
-        of_a_call = 2 * figures.set_up + figures.answer + figures.look + figures.release
+        processor_settings = self.world.fabric.processor_settings
+        of_a_call = (
+            2 * processor_settings.set_up_work
+            + processor_settings.answer_work
+            + processor_settings.routing_work
+            + processor_settings.release_work
+        )
         for second, (wait, pressed, done) in enumerate(self.samples[:seconds]):
             out.wait_ms.append(round(wait, 1))
             out.pressed.append(round(pressed, 3))
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -72,18 +72,18 @@
 
         def undo() -> None:
             for exchange in exchanges:
-                exchange.processor.wake()
+                exchange.processor.resume()
 
         return undo
 
     def do_slow(self, one: Trouble) -> Callable[[], None]:
         exchanges, multiple = self._exchanges(one), max(1.0, one.figure)
         for exchange in exchanges:
-            exchange.processor.slowness *= multiple
+            exchange.processor.slowdown *= multiple
 
         def undo() -> None:
             for exchange in exchanges:
-                exchange.processor.slowness /= multiple
+                exchange.processor.slowdown /= multiple
 
         return undo
 
@@ -94,13 +94,13 @@
 
             def slower() -> None:
                 for exchange in exchanges:
-                    exchange.processor.slowness *= 1.25
+                    exchange.processor.slowdown *= 1.25
 
             self.kernel.at(self.kernel.now() + one.length * step // steps, slower)
 
         def crash() -> None:
             for exchange in exchanges:
-                exchange.processor.slowness = 1.0
+                exchange.processor.slowdown = 1.0
                 if not exchange.stopped:
                     self.world.note_pressure()
                     exchange.restart_cold()
@@ -156,28 +156,28 @@
             if (fabric.regions[group.ends[0]] == region) != (fabric.regions[group.ends[1]] == region)
         ]
         for group in hit:
-            group.lost = group.size - round(group.size * min(1.0, one.figure))
+            group.out_of_service = group.size - round(group.size * min(1.0, one.figure))
             over = group.taken - group.working()
             for end in group.ends:
                 exchange = fabric.exchanges[end]
-                for side, held in exchange.standing():
-                    if over > 0 and side.number in group.ends and held.circuits:
-                        over -= held.asked.width
-                        exchange.cut(side, held)
-            fabric.changed(group)
+                for side, held in exchange.established_calls():
+                    if over > 0 and side.number in group.ends and held.has_circuits:
+                        over -= held.request.width
+                        exchange.cut_call(side, held)
+            fabric.schedule_report(group)
 
         def undo() -> None:
             for group in hit:
-                group.lost = 0
-                fabric.changed(group)
+                group.out_of_service = 0
+                fabric.schedule_report(group)
 
         return undo
 
     def do_cut_calls(self, one: Trouble) -> None:
         for exchange in list(self.world.fabric.exchanges.values()):
-            for side, held in exchange.standing():
+            for side, held in exchange.established_calls():
                 if self.draw.random() < one.figure:
-                    exchange.cut(side, held)
+                    exchange.cut_call(side, held)
 
     def do_list_gone(self, one: Trouble) -> Callable[[], None]:
         self.world.list.vanish()
@@ -214,7 +214,7 @@
     def do_hot_number(self, one: Trouble) -> Callable[[], None]:
         destination = self.who(one)[0]
         number = f"hot.{destination}"
-        self.world.fabric.lines[number] = 3
+        self.world.fabric.line_limits[number] = 3
         for gateway in self.world.gateways:
             gateway.traffic.hot = (number, destination, min(1.0, one.figure))
 
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -10,7 +10,7 @@
 from peattrestle.settings import agent as settings
 from peattrestle.standin.callers import BearerFigures, Gateway, Habits, Traffic
 from peattrestle.standin.exchange import StandinExchange
-from peattrestle.standin.fabric import Fabric, Figures
+from peattrestle.standin.fabric import Fabric, ProcessorSettings
 from peattrestle.standin.hubs import HubRegistry
 from peattrestle.standin.listing import ListSource
 from peattrestle.standin.record import Record
@@ -27,17 +27,23 @@
         fleet, rules = script.fleet, script.rules
         count = fleet.exchanges
         # Work for a call: the originating end sets up and answers, the other looks, sets up, releases.
-        plain = Figures()
-        of_a_call = plain.set_up + plain.answer + plain.look + plain.set_up + plain.release
+        plain = ProcessorSettings()
+        of_a_call = (
+            plain.set_up_work
+            + plain.answer_work
+            + plain.routing_work
+            + plain.set_up_work
+            + plain.release_work
+        )
         scale = fleet.busy * SECOND / (fleet.calls_a_second * of_a_call)
         self.fabric = Fabric(
             kernel,
             self.record,
-            Figures(
-                round(plain.look * scale),
-                round(plain.set_up * scale),
-                round(plain.answer * scale),
-                round(plain.release * scale),
+            ProcessorSettings(
+                round(plain.routing_work * scale),
+                round(plain.set_up_work * scale),
+                round(plain.answer_work * scale),
+                round(plain.release_work * scale),
                 fleet.wait_limit,
                 rules.cold_from,
                 rules.cold_time,
@@ -168,13 +174,13 @@
         """The processors' own books on rule 4, for the judge: at the end, before restarts too."""
         for exchange in [one for one, _ in self.list.exchanges.values()]:
             processor = exchange.processor
-            if processor.cold_windows:
+            if processor.cold_samples:
                 self.record.add(
                     self.kernel.now(),
                     "pressure",
                     exchange.name,
                     "",
-                    code=round(processor.worst_pressure * 1000),
-                    value=processor.cold_windows,
-                    text="fallen" if processor.fallen else "",
+                    code=round(processor.peak_cold_load * 1000),
+                    value=processor.cold_samples,
+                    text="fallen" if processor.failed else "",
                 )
--- a/peattrestle/standin/__init__.py
+++ b/peattrestle/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for all that surrounds a call agent: exchanges, groups, callers, the list; and their faults."""
+"""Simulated surroundings of a call agent: exchanges, trunk groups, callers, the exchange list, faults."""
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -1,4 +1,4 @@
-"""Callers and their gateway: patience, redials, marks, and a count of their own."""
+"""Simulated callers and their gateway: patience, redialling, marked retries, and counts of their own."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 @dataclass(slots=True)
 class Sale:
-    """What one caller wants, over all its tries. Times in nanoseconds; -1 for never."""
+    """The call that one caller wants, over all its attempts. Times in nanoseconds; -1 for never.
+
+    `cut`: the established call was cut. `reestablished`: it was set up again after that.
+    """
 
     bearer_type: str
     destination: int
@@ -32,40 +35,50 @@
 
 @dataclass(slots=True)
 class Dial:
-    """One try of a caller's."""
+    """One attempt of a caller.
+
+    `state` is 'asked' (set-up sent), 'left' (given up before an answer), 'crossed' (given up, and the answer
+    came all the same), 'stands' (established), 'ending' (release sent) or 'over'.
+    """
 
     sale: Sale
     termination: str
     transaction: int
     asked_at: int
     abandon_at: int
-    state: str = "asked"  # asked, left, stands, over
+    state: str = "asked"
     timer: Timer | None = None
 
 
 @dataclass(slots=True)
 class Habits:
-    """How callers behave; shares from 0 to 1."""
+    """Behaviour of callers and gateways; shares from 0 to 1, times in nanoseconds."""
 
     patience_least: float = 0.30  # of the bearer type's abandon time
     patience_most: float = 0.40
     redials: int = 2
     redial_least: int = 300 * MS
     redial_most: int = 1200 * MS
-    honours: float = 0.7  # share that honours the come-back time
-    marks: bool = True  # further tries carry ptc/rpt
+    honours: float = 0.7  # share of refusals whose come-back time is respected
+    marks: bool = True  # further attempts carry ptc/rpt
     repeats: float = 0.0  # share of requests that the gateway sends twice
-    leaves_early: float = 0.0  # share that leaves long before its abandon time
-    return_least: int = 440 * MS  # a cut call comes again after this
+    leaves_early: float = 0.0  # share of attempts given up long before the abandon time
+    return_least: int = 440 * MS  # wait before a cut call is dialled again
     return_most: int = 2600 * MS
-    restart_least: int = 50 * MS  # a gateway that lost its connection waits so long before the next attempt
+    restart_least: int = 50 * MS  # wait of a gateway before it reconnects
     restart_most: int = 250 * MS
-    avalanche: bool = True  # and keeps to the delay that its agent told, drawn, but for a caller who dials
-    follows: bool = True  # gateways keep to notices of the rate they may offer
+    avalanche: bool = True  # and also a random part of the agent's waiting delay, until a caller dials
+    follows: bool = True  # gateways respect rate notices
 
 
 @dataclass(slots=True)
 class BearerFigures:
+    """A bearer type as callers use it: its share of calls, its times in nanoseconds and its revenue.
+
+    `late_revenue`: share of the revenue for a call established after `gos_target`. `width`: circuits of a
+    call.
+    """
+
     name: str
     share: float
     gos_target: int
@@ -78,9 +91,10 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """What a gateway's callers ask for; the rehearsal changes it as the day goes on.
+    """The calls that a gateway's callers make; changed while a rehearsal runs.
 
-    `rate`: calls a second now. `destinations`: weight by number. `hot`: a number, its exchange, its share.
+    `rate`: calls a second. `destinations`: weight by exchange number. `hot_number`: a number, its exchange
+    and the share of calls to it.
     """
 
     rate: float
@@ -90,32 +104,46 @@
     hot: tuple[str, int, float] | None = None
 
 
-class Bucket:
-    """A leaky bucket for the rate a notice allows; the stand-in's own, to show what the agent says."""
+class LeakyBucket:
+    """A leaky bucket for the rate that a notice allows.
+
+    Implemented apart from the agent's own, so that it checks what the agent announces.
+    """
 
     def __init__(self) -> None:
-        self.rate, self.until, self.number = 0.0, 0, -1
-        self.full, self.at = 0.0, 0
-
-    def told(self, now: int, notice: package.Notice) -> None:
-        if notice.number > self.number:
-            if now >= self.until:
-                self.full, self.at = 0.0, now
-            self.number, self.rate, self.until = notice.number, notice.rate, now + notice.lifetime
-
-    def passes(self, now: int, room: float) -> bool:
-        """`room`: how full it may be before this call."""
-        if now >= self.until:
+        self.rate, self.valid_until, self.notice_number = 0.0, 0, -1
+        self.level, self.updated_at = 0.0, 0
+
+    def update(self, now: int, notice: package.Notice) -> None:
+        """Applies a notice, unless a later one has been applied."""
+        if notice.number > self.notice_number:
+            if now >= self.valid_until:
+                self.level, self.updated_at = 0.0, now
+            self.notice_number, self.rate, self.valid_until = (
+                notice.number,
+                notice.rate,
+                now + notice.lifetime,
+            )
+
+    def admits(self, now: int, max_level: float) -> bool:
+        """Whether a call may be sent now; `max_level`: how full the bucket may be before it."""
+        if now >= self.valid_until:
             return True
-        self.full = max(0.0, self.full - self.rate * (now - self.at) / SECOND)
-        self.at = now
-        if self.full > room:
+        self.level = max(0.0, self.level - self.rate * (now - self.updated_at) / SECOND)
+        self.updated_at = now
+        if self.level > max_level:
             return False
-        self.full += 1
+        self.level += 1
         return True
 
 
 class Gateway:
+    """A gateway with its callers, connected to one agent.
+
+    `number`: its exchange. `address`: gives the agent's address for each connection. `place`: index among the
+    gateways of that exchange.
+    """
+
     def __init__(
         self,
         kernel: Kernel,
@@ -146,7 +174,7 @@
         self.reply_after_leaving = 0
         self.closing = False
         self.refused_connections = 0
-        self.bucket = Bucket()
+        self.bucket = LeakyBucket()
         self.waiting_delay = 0  # as the agent told it
         self.wanted = Event(kernel)  # a caller dials while there is no connection
         self.multiple = 1.0  # of its part of the exchange's calls
@@ -218,7 +246,7 @@
         """Calls that were not answered are lost with the connection; their callers dial again."""
         self.session = self.stream = None
         self.ready = False
-        self.bucket = Bucket()  # notices end with the connection
+        self.bucket = LeakyBucket()  # notices end with the connection
         self.transactions.lost()
         for dial in [one for one in self.dials.values() if one.state == "ending"]:
             self.owed.append(dial.termination)
@@ -289,7 +317,7 @@
             self.wanted.set()
             self.redial(sale, 0)
             return
-        if habits.follows and not self.flood and not self.bucket.passes(now, self.room(sale)):
+        if habits.follows and not self.flood and not self.bucket.admits(now, self.room(sale)):
             self.count("held_by_notice")
             sale.tries += 1
             self.redial(sale, 0)
@@ -417,7 +445,7 @@
         notice = package.read_rate(command) if command.name == "Notify" else None
         if notice is not None:
             self.count("notices" if notice.lifetime else "notices_lifted")
-            self.bucket.told(self.kernel.now(), notice)
+            self.bucket.update(self.kernel.now(), notice)
         if command.name == "Notify" and package.is_cut(command):
             dial = self.dials.get(command.termination)
             if dial is not None and dial.state == "stands":
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -1,5 +1,8 @@
-"""A stand-in exchange: takes set-ups from agents, does their work on its processor, hands transit to its own
-agent, tells that agent its groups. It knows the codec, and nothing of the agent's inside."""
+"""A simulated exchange for rehearsals.
+
+It accepts set-ups from agents over H.248, runs them through a processor model, hands transit calls to its own
+agent and reports its trunk groups to that agent. It uses the protocol codec and none of the agent's code.
+"""
 
 from __future__ import annotations
 
@@ -14,174 +17,197 @@
 from peattrestle.h248.text import Action, Command, Malformed, Request
 from peattrestle.h248.transactions import Answered, New, Stray, Transactions
 from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
-from peattrestle.standin.fabric import Fabric, Flags, Group
+from peattrestle.standin.fabric import Fabric, Group, SocketFaults
 from peattrestle.standin.processor import Processor
 
 
 @dataclass(slots=True)
-class Held:
-    """A set-up here: `state` is 'working', 'onward' (with the own agent), 'stands' or 'over'."""
+class ExchangeCall:
+    """A call that an agent has set up at this exchange.
+
+    `state` is 'working' (in the processor's queue), 'onward' (handed to the own agent as a transit call),
+    'stands' (established) or 'over'.
+    """
 
     agent: str
-    transaction: int
-    asked: SetUpAsked
+    transaction_id: int
+    request: SetUpAsked
     context: int
     state: str = "working"
-    circuits: bool = False
-    line: bool = False
-    onward: str = ""  # termination of the transit leg towards the own agent
+    has_circuits: bool = False
+    has_line: bool = False
+    onward_termination: str = ""  # of the transit leg towards the own agent; empty: none
 
 
-class AgentSide:
-    """One agent as seen from here, over its connections."""
+class AgentPeer:
+    """What the exchange knows of one agent; kept across the agent's connections."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.number = -1
-        self.run = ""
+        self.number = -1  # of its exchange; -1 until it has registered
+        self.run_id = ""  # changes when the agent restarts
         self.transactions = Transactions(1, 100_000, 100_000)
         self.connection: Connection | None = None
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, ExchangeCall] = {}
 
 
 class Connection:
+    """One connection from an agent, with the simulated socket faults applied to what it reads and writes."""
+
     def __init__(self, exchange: StandinExchange, stream: Stream) -> None:
         self.exchange, self.stream = exchange, stream
-        self.side: AgentSide | None = None
-        self.waiting: list[bytes] = []  # cannot pass: a region is cut off
-        self.late: list[tuple[int, bytes]] = []
-        self.busy_until = 0
-        self.unsure_until = 0  # what is read before this may have lain here for long
+        self.peer: AgentPeer | None = None
+        self.blocked_output: list[bytes] = []  # held back while a region is cut off
+        self.delayed_input: list[tuple[int, bytes]] = []  # (received at, data), likewise held back
+        self.write_until = 0
+        self.uncertain_until = 0  # data read before this may have waited unread in the socket
         self.session = Session(exchange.mid, Transactions(), self.write, bind=self.bind)
 
     def bind(self, mid: str) -> Transactions:
+        """Attaches the connection to the agent named by `mid` and closes that agent's previous connection."""
         exchange, name = self.exchange, mid.strip("<>")
-        side = exchange.agents.setdefault(name, AgentSide(name))
-        if side.connection is not None:
-            former = side.connection
-            former.ended("it came again")
+        peer = exchange.agents.setdefault(name, AgentPeer(name))
+        if peer.connection is not None:
+            former = peer.connection
+            former.on_lost("it came again")
             former.stream.close()
-        side.connection, self.side = self, side
-        return side.transactions
+        peer.connection, self.peer = self, peer
+        return peer.transactions
 
-    def catch_up(self) -> None:
-        late, self.late = self.late, []
+    def handle_delayed_input(self) -> None:
+        """Handles the data that was held back, once the region can be reached again."""
+        delayed, self.delayed_input = self.delayed_input, []
         try:
-            for at, data in late:
-                self.feed(at, data)
+            for received_at, data in delayed:
+                self.handle_data(received_at, data)
         except BadPeer:
             self.stream.abort()
 
-    def drop_late(self) -> None:
-        """What was still on its way goes down with the connection; it was seen at the socket all the same."""
-        late, self.late = self.late, []
-        for at, data in late:
+    def record_unhandled_input(self) -> None:
+        """Records the commands in data held back when the connection ended.
+
+        They are never carried out, but they did arrive at the socket, which is what the judge counts.
+        """
+        delayed, self.delayed_input = self.delayed_input, []
+        for received_at, data in delayed:
             try:
                 parts = [part for message in self.session.peek(data) for part in message.parts]
             except (BadPeer, Malformed):
                 return
             for part in parts:
-                if isinstance(part, Request) and self.side is not None:
-                    self.exchange.only_seen(self.side, at, part.actions[0].commands[0])
+                if isinstance(part, Request) and self.peer is not None:
+                    self.exchange.record_unhandled(self.peer, received_at, part.actions[0].commands[0])
 
-    def feed(self, seen_at: int, data: bytes) -> None:
+    def handle_data(self, received_at: int, data: bytes) -> None:
+        """Handles data that arrived at `received_at`; raises BadPeer where the session cannot continue."""
         exchange = self.exchange
-        exchange.seen_at, exchange.unsure = seen_at, seen_at < self.unsure_until
-        for heard in self.session.feed(exchange.kernel.now(), data):
-            if isinstance(heard, New) and self.side is not None:
-                exchange.asked(self, self.side, heard.request)
-            elif isinstance(heard, Answered) and isinstance(heard.kept, Held):
-                exchange.onward_answered(heard.kept, package.read_outcome(heard.reply))
-            elif isinstance(heard, Answered) and isinstance(heard.kept, str) and self.side is not None:
-                exchange.onward_ended(self.side, heard.kept, package.refusal(heard.reply))
-            elif isinstance(heard, Stray) and self.side is not None:
-                exchange.stray(self.side, heard.id)
-
-    def passes(self) -> bool:
-        side = self.side
+        exchange.received_at, exchange.time_uncertain = received_at, received_at < self.uncertain_until
+        for event in self.session.feed(exchange.kernel.now(), data):
+            if isinstance(event, New) and self.peer is not None:
+                exchange.handle_request(self, self.peer, event.request)
+            elif isinstance(event, Answered) and isinstance(event.kept, ExchangeCall):
+                exchange.handle_onward_reply(event.kept, package.read_outcome(event.reply))
+            elif isinstance(event, Answered) and isinstance(event.kept, str) and self.peer is not None:
+                exchange.handle_release_reply(self.peer, event.kept, package.refusal(event.reply))
+            elif isinstance(event, Stray) and self.peer is not None:
+                exchange.handle_stray_reply(self.peer, event.id)
+
+    def is_reachable(self) -> bool:
+        """Whether no cut region separates this exchange from the agent."""
+        peer = self.peer
         return (
-            side is None
-            or side.number < 0
-            or self.exchange.fabric.reachable(side.number, self.exchange.number)
+            peer is None
+            or peer.number < 0
+            or self.exchange.fabric.reachable(peer.number, self.exchange.number)
         )
 
     def write(self, data: bytes) -> None:
+        """Sends data, subject to region cuts and the exchange's socket faults."""
         exchange, flags = self.exchange, self.exchange.flags
         if flags.mute:
             return
-        if not self.passes() or self.waiting:
-            if not self.waiting:
-                exchange.fabric.healed.append(self.flush)
-            self.waiting.append(data)
+        if not self.is_reachable() or self.blocked_output:
+            if not self.blocked_output:
+                exchange.fabric.on_heal.append(self.flush)
+            self.blocked_output.append(data)
             return
         if flags.garble and exchange.draw.random() < flags.garble:
-            asked = re.search(rb"Add=(n/[^{]*)", data)
-            if asked is not None and self.side is not None:
-                # Whoever can't read a request's number can't answer it; its asker finds out by its own time.
-                now, termination = exchange.kernel.now(), asked.group(1).decode()
-                exchange.fabric.record.add(now, "dropped", exchange.name, self.side.name, termination)
-            at = exchange.draw.randrange(4, len(data))
-            data = data[:at] + bytes([exchange.draw.choice(b'{}"=,\x00\xff')]) + data[at + 1 :]
+            match = re.search(rb"Add=(n/[^{]*)", data)
+            if match is not None and self.peer is not None:
+                # An agent that cannot read the transaction id of a request cannot reply to it, so this
+                # request is recorded as dropped: the sender only finds out by its own timeout.
+                now, termination = exchange.kernel.now(), match.group(1).decode()
+                exchange.fabric.record.add(now, "dropped", exchange.name, self.peer.name, termination)
+            index = exchange.draw.randrange(4, len(data))
+            data = data[:index] + bytes([exchange.draw.choice(b'{}"=,\x00\xff')]) + data[index + 1 :]
         if flags.late_replies and b"Reply=" in data:
             exchange.kernel.at(exchange.kernel.now() + flags.late_replies, lambda: self.stream.write(data))
-        elif flags.single_bytes or self.busy_until > exchange.kernel.now():
-            at = max(self.busy_until, exchange.kernel.now())
-            for place in range(len(data)):
-                at += 20_000
-                exchange.kernel.at(at, partial(self.stream.write, data[place : place + 1]))
-            self.busy_until = at  # what follows must not overtake
+        elif flags.single_bytes or self.write_until > exchange.kernel.now():
+            send_at = max(self.write_until, exchange.kernel.now())
+            for offset in range(len(data)):
+                send_at += 20_000
+                exchange.kernel.at(send_at, partial(self.stream.write, data[offset : offset + 1]))
+            self.write_until = send_at  # later messages must not overtake these bytes
         else:
             self.stream.write(data)
         if flags.double_replies and b"Reply=" in data and exchange.draw.random() < flags.double_replies:
             exchange.kernel.at(exchange.kernel.now() + 30_000_000, lambda: self.stream.write(data))
 
     def flush(self) -> None:
-        waiting, self.waiting = self.waiting, []
-        for data in waiting:
+        """Sends what was held back while a region was cut off."""
+        blocked, self.blocked_output = self.blocked_output, []
+        for data in blocked:
             self.write(data)
 
     def run(self) -> Coroutine[None]:
-        exchange, why = self.exchange, "closed"
+        """Reads from the agent until the connection ends."""
+        exchange, reason = self.exchange, "closed"
         try:
             while True:
                 while exchange.flags.stall:
-                    self.unsure_until = exchange.kernel.now() + 200_000_000
+                    self.uncertain_until = exchange.kernel.now() + 200_000_000
                     yield from exchange.kernel.sleep(20_000_000)
                 data = yield from self.stream.read()
                 if not data:
                     break
-                if self.late or not self.passes():
-                    # It is on its way across a cut: seen at the socket now, worked on when it heals.
-                    if not self.late:
-                        exchange.fabric.healed.append(self.catch_up)
-                    self.late.append((exchange.kernel.now(), data))
+                if self.delayed_input or not self.is_reachable():
+                    # The region is cut off: received at the socket now, handled when the region heals.
+                    if not self.delayed_input:
+                        exchange.fabric.on_heal.append(self.handle_delayed_input)
+                    self.delayed_input.append((exchange.kernel.now(), data))
                 else:
-                    self.feed(exchange.kernel.now(), data)
+                    self.handle_data(exchange.kernel.now(), data)
                 if self.stream.unsent > 1 << 24:
                     raise Lost("an agent that does not read")
-        except (Lost, BadPeer) as fault:
-            why = str(fault)
+        except (Lost, BadPeer) as error:
+            reason = str(error)
         finally:
             self.stream.close()
-            self.drop_late()
+            self.record_unhandled_input()
             exchange.connections.pop(self, None)
-            self.ended(why)
+            self.on_lost(reason)
 
-    def ended(self, why: str) -> None:
-        """What was asked over this connection and not answered ends with it."""
-        exchange, side = self.exchange, self.side
-        if side is None or side.connection is not self:
+    def on_lost(self, reason: str) -> None:
+        """Detaches the connection from its agent and fails the transit requests still open on it."""
+        exchange, peer = self.exchange, self.peer
+        if peer is None or peer.connection is not self:
             return
-        side.connection = None
-        exchange.fabric.record.add(exchange.kernel.now(), "lost", exchange.name, side.name, text=why)
-        for kept in side.transactions.lost():
-            if isinstance(kept, Held):
-                exchange.onward_dropped(side, kept)
-            elif isinstance(kept, str):
-                exchange.owed.append(kept)
+        peer.connection = None
+        exchange.fabric.record.add(exchange.kernel.now(), "lost", exchange.name, peer.name, text=reason)
+        for pending in peer.transactions.lost():
+            if isinstance(pending, ExchangeCall):
+                exchange.handle_onward_lost(peer, pending)
+            elif isinstance(pending, str):
+                exchange.pending_releases.append(pending)
 
 
 class StandinExchange:
+    """A simulated exchange and its listening socket.
+
+    `own_agent` names the agent attached to this exchange; `address` is the one actually bound. Times are in
+    nanoseconds of the kernel's clock.
+    """
+
     def __init__(
         self,
         kernel: Kernel,
@@ -195,38 +221,39 @@
         self.kernel, self.fabric, self.name, self.number = kernel, fabric, name, number
         self.mid = f"<{name}>"
         self.own_agent = own_agent
-        self.flags = Flags()
+        self.flags = SocketFaults()
         self.draw = kernel.chance(f"exchange/{name}")
-        figures = fabric.figures
+        settings = fabric.processor_settings
         self.processor = Processor(
             kernel,
-            figures.look + figures.set_up,
-            figures.wait_limit,
-            figures.cold_from,
-            figures.cold_time,
-            figures.fall_multiple,
-            figures.fall_time,
-            figures.urgent_first,
+            settings.routing_work + settings.set_up_work,
+            settings.wait_limit,
+            settings.cold_from,
+            settings.cold_time,
+            settings.fall_multiple,
+            settings.fall_time,
+            settings.urgent_first,
         )
-        self.processor.on_fall = self.fell
+        self.processor.on_failure = self.record_failure
         self.started_at = kernel.now() if cold else -1
         if cold:
             self.processor.restart(cold=True)
-        self.agents: dict[str, AgentSide] = {}
-        self.connections: dict[Connection, None] = {}  # in order: a set's would differ from run to run
+        self.agents: dict[str, AgentPeer] = {}
+        self.connections: dict[Connection, None] = {}  # a dict, as the order of a set differs between runs
         self.contexts = 0
         self.onward_count = 0
-        self.onward: dict[str, tuple[AgentSide, Held]] = {}
+        self.onward_calls: dict[str, tuple[AgentPeer, ExchangeCall]] = {}
         self.stopped = False
-        self.seen_at = 0  # when what is worked on now was seen at the socket
-        self.unsure = False  # it may have been there for long: nothing was read
-        self.owed: list[str] = []  # transit calls to take back when the own agent's link is there again
-        self.onward_asks: dict[int, str] = {}
+        self.received_at = 0  # when the data being handled arrived at the socket
+        self.time_uncertain = False  # reading had stalled, so the data may have arrived earlier
+        self.pending_releases: list[str] = []  # transit calls, for when the own agent reconnects
+        self.onward_terminations: dict[int, str] = {}  # by transaction id
         self.listener: Listener = kernel.listen(address)
         self.address = self.listener.address
         self.task = kernel.spawn(self.run(), f"exchange {name}")
 
     def run(self) -> Coroutine[None]:
+        """Accepts connections until the listener is closed."""
         while True:
             try:
                 stream = yield from self.listener.accept()
@@ -237,110 +264,122 @@
             self.kernel.spawn(connection.run(), f"{self.name} < {stream.peer}")
 
     def record(
-        self, kind: str, side: AgentSide, termination: str, reference: str = "", code: int = 0
+        self, kind: str, peer: AgentPeer, termination: str, reference: str = "", code: int = 0
     ) -> None:
+        """Adds a row to the traffic record; what was received is stamped with its time of arrival."""
         incoming = kind in ("add", "freed")
         self.fabric.record.add(
-            self.seen_at if incoming else self.kernel.now(),
+            self.received_at if incoming else self.kernel.now(),
             kind,
             self.name,
-            side.name,
+            peer.name,
             termination,
             reference,
             code,
-            text="unsure" if incoming and self.unsure else "",
+            text="unsure" if incoming and self.time_uncertain else "",
         )
 
-    def fell(self, senders: list[str]) -> None:
+    def record_failure(self, senders: list[str]) -> None:
+        """Records that the cold processor failed under load; `senders` are the agents of that window's set-
+        ups.
+        """
         self.fabric.record.add(
             self.kernel.now(), "fell", self.name, "", value=self.started_at, text=" ".join(senders)
         )
 
-    def only_seen(self, side: AgentSide, at: int, command: Command) -> None:
-        self.seen_at, self.unsure = at, False
+    def record_unhandled(self, peer: AgentPeer, at: int, command: Command) -> None:
+        """Records a command that arrived at `at` and is not carried out."""
+        self.received_at, self.time_uncertain = at, False
         if command.name == "Subtract":
-            self.record("freed", side, command.termination)
+            self.record("freed", peer, command.termination)
         elif command.name == "Add":
             reference = command.find("Media", "LocalControl", "ptc/ref")
-            self.record("add", side, command.termination, reference.value or "" if reference else "")
+            self.record("add", peer, command.termination, reference.value or "" if reference else "")
 
-    # Requests of agents.
+    # Requests from agents.
 
-    def asked(self, connection: Connection, side: AgentSide, request: Request) -> None:
+    def handle_request(self, connection: Connection, peer: AgentPeer, request: Request) -> None:
+        """Carries out a request from an agent and replies to it."""
         action, command = request.actions[0], request.actions[0].commands[0]
         if command.name == "Add":
-            self.add(connection, side, request.id, command)
+            self.handle_add(connection, peer, request.id, command)
         elif command.name == "Subtract":
-            self.subtract(side, request.id, action, command)
+            self.handle_subtract(peer, request.id, action, command)
         elif command.name == "ServiceChange":
-            self.service_change(side, command)
+            self.handle_service_change(peer, command)
             age = f",ptc/age={self.kernel.now() - self.started_at}" if self.started_at >= 0 else ""
             services = f"Services{{Profile={package.PROFILE}{age}}}"
             self.reply(
-                side,
+                peer,
                 request.id,
                 package.command_reply(request.id, "-", "ServiceChange", "ROOT", inside=services),
             )
             if age:
                 now = self.kernel.now()
-                self.fabric.record.add(now, "told", self.name, side.name, text=f"{self.name} started")
-            if side.name == self.own_agent and side.connection is not None:
-                owed, self.owed = self.owed, []
-                for termination in owed[-10_000:]:
-                    self.take_back(side, termination)
-                self.tell_groups(group for group in self.fabric.groups.values() if self.number in group.ends)
+                self.fabric.record.add(now, "told", self.name, peer.name, text=f"{self.name} started")
+            if peer.name == self.own_agent and peer.connection is not None:
+                releases, self.pending_releases = self.pending_releases, []
+                for termination in releases[-10_000:]:
+                    self.send_release(peer, termination)
+                self.report_groups(
+                    group for group in self.fabric.groups.values() if self.number in group.ends
+                )
         elif command.name == "Notify":
-            if package.is_cut(command) and command.termination in self.onward:
-                owner, held = self.onward[command.termination]
-                self.cut(owner, held)
+            if package.is_cut(command) and command.termination in self.onward_calls:
+                caller_peer, call = self.onward_calls[command.termination]
+                self.cut_call(caller_peer, call)
             self.reply(
-                side,
+                peer,
                 request.id,
                 package.command_reply(request.id, action.context, "Notify", command.termination),
             )
         else:
             self.reply(
-                side,
+                peer,
                 request.id,
                 package.command_reply(request.id, action.context, command.name, command.termination),
             )
 
-    def reply(self, side: AgentSide, number: int, parts: str) -> None:
-        if side.connection is not None:
-            side.connection.session.reply(number, parts)
+    def reply(self, peer: AgentPeer, transaction_id: int, parts: str) -> None:
+        """Sends a reply, or only keeps it for a repeated request where the agent is not connected."""
+        if peer.connection is not None:
+            peer.connection.session.reply(transaction_id, parts)
         else:
-            side.transactions.answer(number, parts)
+            peer.transactions.answer(transaction_id, parts)
 
-    def service_change(self, side: AgentSide, command: Command) -> None:
-        """An agent whose run is another one has forgotten what the last one held: it is freed."""
+    def handle_service_change(self, peer: AgentPeer, command: Command) -> None:
+        """Registers an agent; the calls of an earlier run, which it has forgotten, are released."""
         change = package.read_service_change(command)
-        side.number = int(change.parameters.get("ptc/num", "-1"))
-        run = change.parameters.get("ptc/run", "")
-        if run != side.run:
-            for held in list(side.held.values()):
-                self.free(side, held)
-            if side.run:
-                side.transactions.served.clear()
-            side.run = run
-
-    def add(self, connection: Connection, side: AgentSide, number: int, command: Command) -> None:
+        peer.number = int(change.parameters.get("ptc/num", "-1"))
+        run_id = change.parameters.get("ptc/run", "")
+        if run_id != peer.run_id:
+            for call in list(peer.held.values()):
+                self.end_call(peer, call)
+            if peer.run_id:
+                peer.transactions.served.clear()
+            peer.run_id = run_id
+
+    def handle_add(
+        self, connection: Connection, peer: AgentPeer, transaction_id: int, command: Command
+    ) -> None:
+        """Handles a set-up: reserves circuits and queues work at the originating and this processor."""
         try:
-            asked = package.read_add(command)
-        except BadValue as fault:
+            request = package.read_add(command)
+        except BadValue as error:
             self.reply(
-                side,
-                number,
+                peer,
+                transaction_id,
                 package.command_reply(
-                    number, "$", "Add", command.termination, (package.BAD_VALUE, str(fault))
+                    transaction_id, "$", "Add", command.termination, (package.BAD_VALUE, str(error))
                 ),
             )
             return
-        if asked.termination in side.held:
+        if request.termination in peer.held:
             self.reply(
-                side,
-                number,
+                peer,
+                transaction_id,
                 package.command_reply(
-                    number,
+                    transaction_id,
                     "$",
                     "Add",
                     command.termination,
@@ -348,88 +387,100 @@
                 ),
             )
             return
-        self.record("add", side, asked.termination, asked.reference)
+        self.record("add", peer, request.termination, request.reference)
         if self.flags.reset_setups and self.draw.random() < self.flags.reset_setups:
             connection.stream.abort()
             return
         self.contexts += 1
-        held = side.held[asked.termination] = Held(side.name, number, asked, self.contexts)
-        if not self.fabric.take(side.number, self.number, asked.width):
-            self.refuse(side, held, "no_circuit")
+        call = peer.held[request.termination] = ExchangeCall(
+            peer.name, transaction_id, request, self.contexts
+        )
+        if not self.fabric.take_circuits(peer.number, self.number, request.width):
+            self.refuse(peer, call, "no_circuit")
             return
-        held.circuits = True
-        figures, origin = self.fabric.figures, self.fabric.exchanges.get(side.number)
+        call.has_circuits = True
+        settings, origin = self.fabric.processor_settings, self.fabric.exchanges.get(peer.number)
 
-        def here() -> None:
-            if held.state != "working":
+        def start_processing() -> None:
+            if call.state != "working":
                 return
-            if not self.processor.set_up(figures.look + figures.set_up, worked, side.name):
-                self.refuse(side, held, "processor_full")
-
-        def worked() -> None:
-            if held.state == "working":
-                self.worked(side, held)
-
-        # What waited behind a cut passed its origin's processor long ago, not when it heals.
-        waited = self.kernel.now() - self.seen_at > 5_000_000
-        if origin is None or origin is self or waited:
-            here()
-        elif not origin.processor.set_up(figures.set_up, here, side.name):
-            self.refuse(side, held, "processor_full")
-
-    def worked(self, side: AgentSide, held: Held) -> None:
-        asked = held.asked
-        if asked.destination != self.number:
-            self.hand_over(side, held)
-        elif not self.fabric.line_free(asked.number):
-            self.refuse(side, held, "lines_busy")
+            if not self.processor.submit_set_up(
+                settings.routing_work + settings.set_up_work, on_processed, peer.name
+            ):
+                self.refuse(peer, call, "processor_full")
+
+        def on_processed() -> None:
+            if call.state == "working":
+                self.complete_processing(peer, call)
+
+        # A set-up held back by a region cut passed the originating processor when it was sent.
+        was_delayed = self.kernel.now() - self.received_at > 5_000_000
+        if origin is None or origin is self or was_delayed:
+            start_processing()
+        elif not origin.processor.submit_set_up(settings.set_up_work, start_processing, peer.name):
+            self.refuse(peer, call, "processor_full")
+
+    def complete_processing(self, peer: AgentPeer, call: ExchangeCall) -> None:
+        """Continues a set-up after its processing: connects a local number, or hands a transit call on."""
+        request = call.request
+        if request.destination != self.number:
+            self.send_onward(peer, call)
+        elif not self.fabric.take_line(request.number):
+            self.refuse(peer, call, "lines_busy")
         else:
-            held.line = True
-            self.stands(side, held)
+            call.has_line = True
+            self.establish(peer, call)
 
-    def stands(self, side: AgentSide, held: Held) -> None:
-        held.state = "stands"
+    def establish(self, peer: AgentPeer, call: ExchangeCall) -> None:
+        """Marks the call established and answers the set-up, unless the answer is to be lost."""
+        call.state = "stands"
         if self.fabric.answers_lost and self.draw.random() < self.fabric.answers_lost:
-            return  # the work is done, and its answer never arrives
-        origin = self.fabric.exchanges.get(side.number)
+            return  # simulated loss: the call is established and its answer is never sent
+        origin = self.fabric.exchanges.get(peer.number)
 
-        def answered() -> None:
-            if held.state == "stands":
-                self.outcome(side, held, Outcome(0, str(held.context), load=self.load(side.number)))
+        def send_answer() -> None:
+            if call.state == "stands":
+                self.reply_outcome(peer, call, Outcome(0, str(call.context), load=self.load(peer.number)))
 
         if origin is None:
-            answered()
+            send_answer()
         else:
-            origin.processor.urgent(self.fabric.figures.answer, answered)
+            origin.processor.submit_urgent(self.fabric.processor_settings.answer_work, send_answer)
 
-    def refuse(self, side: AgentSide, held: Held, cause: str) -> None:
-        self.outcome(
-            side, held, Outcome(package.REFUSED, text=cause, cause=cause, load=self.load(side.number))
+    def refuse(self, peer: AgentPeer, call: ExchangeCall, cause: str) -> None:
+        """Refuses a set-up for `cause` and frees what it held."""
+        self.reply_outcome(
+            peer, call, Outcome(package.REFUSED, text=cause, cause=cause, load=self.load(peer.number))
         )
-        self.free(side, held)
+        self.end_call(peer, call)
 
-    def outcome(self, side: AgentSide, held: Held, outcome: Outcome) -> None:
-        self.record("replied", side, held.asked.termination, held.asked.reference, outcome.code)
+    def reply_outcome(self, peer: AgentPeer, call: ExchangeCall, outcome: Outcome) -> None:
+        """Replies to a set-up."""
+        self.record("replied", peer, call.request.termination, call.request.reference, outcome.code)
         self.reply(
-            side, held.transaction, package.outcome_text(held.transaction, held.asked.termination, outcome)
+            peer,
+            call.transaction_id,
+            package.outcome_text(call.transaction_id, call.request.termination, outcome),
         )
 
     def load(self, agent: int) -> dict[str, float]:
+        """The load sent with replies: processor queue and rate, free and working circuits to `agent`."""
         group = self.fabric.group(agent, self.number)
-        load = {"queue": float(self.processor.queue()), "rate": round(self.processor.rate(), 1)}
+        load = {"queue": float(self.processor.queue_length()), "rate": round(self.processor.set_up_rate(), 1)}
         if group is not None:
             load |= {"free": float(group.free()), "size": float(group.working())}
         return load
 
-    def subtract(self, side: AgentSide, number: int, action: Action, command: Command) -> None:
-        held = side.held.get(command.termination)
-        self.record("freed", side, command.termination)
-        if held is None:
+    def handle_subtract(self, peer: AgentPeer, transaction_id: int, action: Action, command: Command) -> None:
+        """Handles a release by an agent."""
+        call = peer.held.get(command.termination)
+        self.record("freed", peer, command.termination)
+        if call is None:
             self.reply(
-                side,
-                number,
+                peer,
+                transaction_id,
                 package.command_reply(
-                    number,
+                    transaction_id,
                     action.context,
                     "Subtract",
                     command.termination,
@@ -437,237 +488,257 @@
                 ),
             )
             return
-        if held.state != "over":
-            self.free(side, held, after_work=True)
-        rows = ",".join(
-            f"{name}={self.load(side.number)[ours]:.10g}"
-            for name, ours in package.LOAD.items()
-            if ours in self.load(side.number)
+        if call.state != "over":
+            self.end_call(peer, call, after_work=True)
+        statistics = ",".join(
+            f"{name}={self.load(peer.number)[key]:.10g}"
+            for name, key in package.LOAD.items()
+            if key in self.load(peer.number)
         )
         self.reply(
-            side,
-            number,
+            peer,
+            transaction_id,
             package.command_reply(
-                number, str(held.context), "Subtract", command.termination, inside=f"Statistics{{{rows}}}"
+                transaction_id,
+                str(call.context),
+                "Subtract",
+                command.termination,
+                inside=f"Statistics{{{statistics}}}",
             ),
         )
 
-    def free(self, side: AgentSide, held: Held, after_work: bool = False) -> None:
-        """Gives back what a set-up held; `after_work`: only when the processor has come to the release."""
-        if held.state == "over":
+    def end_call(self, peer: AgentPeer, call: ExchangeCall, after_work: bool = False) -> None:
+        """Ends a call and frees what it held.
+
+        `after_work`: the circuits are freed only when the processor has carried out the release.
+        """
+        if call.state == "over":
             return
-        held.state = "over"
-        self.end_onward(held)
-        if held.line:
-            self.fabric.line_given(held.asked.number)
-        if after_work and not self.processor.silent and not self.processor.fallen and not self.stopped:
-            self.processor.urgent(self.fabric.figures.release, lambda: self.give(side, held))
+        call.state = "over"
+        self.release_onward(call)
+        if call.has_line:
+            self.fabric.free_line(call.request.number)
+        if after_work and not self.processor.silent and not self.processor.failed and not self.stopped:
+            self.processor.submit_urgent(
+                self.fabric.processor_settings.release_work, lambda: self.free_circuits(peer, call)
+            )
         else:
-            self.give(side, held)
+            self.free_circuits(peer, call)
 
-    def give(self, side: AgentSide, held: Held) -> None:
-        side.held.pop(held.asked.termination, None)
-        if held.circuits:
-            held.circuits = False
-            self.fabric.give(side.number, self.number, held.asked.width)
+    def free_circuits(self, peer: AgentPeer, call: ExchangeCall) -> None:
+        """Forgets a call and returns its circuits to the trunk group."""
+        peer.held.pop(call.request.termination, None)
+        if call.has_circuits:
+            call.has_circuits = False
+            self.fabric.return_circuits(peer.number, self.number, call.request.width)
 
-    # Transit: to the own agent and back.
+    # Transit calls, handed to the own agent.
 
-    def to_own_agent(self, build: Callable[[int], str], kept: Held | None = None) -> bool:
-        side = self.agents.get(self.own_agent)
-        if side is None or side.connection is None:
+    def request_own_agent(self, build: Callable[[int], str], call: ExchangeCall | None = None) -> bool:
+        """Sends a request to the own agent; False where that agent is not connected."""
+        peer = self.agents.get(self.own_agent)
+        if peer is None or peer.connection is None:
             return False
-        number = side.connection.session.request(kept, build)
-        if kept is not None:
-            self.onward_asks[number] = kept.onward
-            if len(self.onward_asks) > 10_000:
-                del self.onward_asks[next(iter(self.onward_asks))]
+        transaction_id = peer.connection.session.request(call, build)
+        if call is not None:
+            self.onward_terminations[transaction_id] = call.onward_termination
+            if len(self.onward_terminations) > 10_000:
+                del self.onward_terminations[next(iter(self.onward_terminations))]
         return True
 
-    def hand_over(self, side: AgentSide, held: Held) -> None:
-        asked = held.asked
+    def send_onward(self, peer: AgentPeer, call: ExchangeCall) -> None:
+        """Hands a transit call to the own agent as a new set-up."""
+        request = call.request
         self.onward_count += 1
-        held.state, held.onward = "onward", f"n/{self.name}/{self.onward_count}"
-        onward = SetUpAsked(
-            held.onward,
-            asked.bearer_type,
-            asked.destination,
-            max(1, asked.patience - 50_000_000),
-            asked.number,
-            asked.width,
+        call.state, call.onward_termination = "onward", f"n/{self.name}/{self.onward_count}"
+        onward_request = SetUpAsked(
+            call.onward_termination,
+            request.bearer_type,
+            request.destination,
+            max(1, request.patience - 50_000_000),
+            request.number,
+            request.width,
             transit=True,
-            repeat=asked.repeat,
-            cut_before=asked.cut_before,
-            customer=asked.customer,
-            reference=f"{asked.reference}+{self.onward_count}",
-            origin=side.number,
+            repeat=request.repeat,
+            cut_before=request.cut_before,
+            customer=request.customer,
+            reference=f"{request.reference}+{self.onward_count}",
+            origin=peer.number,
         )
-        own = self.agents.get(self.own_agent)
-        if own is None or not self.to_own_agent(lambda number: package.add_text(number, onward), held):
-            self.refuse(side, held, "turned_back")
+        own_peer = self.agents.get(self.own_agent)
+        if own_peer is None or not self.request_own_agent(
+            lambda transaction_id: package.add_text(transaction_id, onward_request), call
+        ):
+            self.refuse(peer, call, "turned_back")
             return
-        self.onward[held.onward] = (side, held)
-        if not self.flags.mute:  # else nothing of it was seen at any socket
+        self.onward_calls[call.onward_termination] = (peer, call)
+        if not self.flags.mute:  # a muted exchange sent nothing
             self.fabric.record.add(
                 self.kernel.now(),
                 "asked",
                 self.name,
-                own.name,
-                held.onward,
-                onward.reference,
-                value=self.kernel.now() + onward.patience,
+                own_peer.name,
+                call.onward_termination,
+                onward_request.reference,
+                value=self.kernel.now() + onward_request.patience,
             )
 
-    def stray(self, side: AgentSide, number: int) -> None:
-        """A second answer to a transit call, or one to nothing."""
-        termination = self.onward_asks.get(number, "")
-        if termination and side.name == self.own_agent:
+    def handle_stray_reply(self, peer: AgentPeer, transaction_id: int) -> None:
+        """Records a second answer to a transit call; a reply to an unknown transaction is ignored."""
+        termination = self.onward_terminations.get(transaction_id, "")
+        if termination and peer.name == self.own_agent:
             self.fabric.record.add(
-                self.kernel.now(), "answered", self.name, side.name, termination, text="again"
+                self.kernel.now(), "answered", self.name, peer.name, termination, text="again"
             )
 
-    def end_onward(self, held: Held) -> None:
-        """Takes a transit call back from the own agent; an answer of its may cross this."""
-        side = self.agents.get(self.own_agent)
-        if self.onward.pop(held.onward, None) is None or side is None:
+    def release_onward(self, call: ExchangeCall) -> None:
+        """Releases the transit leg of a call at the own agent; the agent's answer may cross the release."""
+        peer = self.agents.get(self.own_agent)
+        if self.onward_calls.pop(call.onward_termination, None) is None or peer is None:
             return
-        if side.connection is None:
-            self.owed.append(held.onward)
+        if peer.connection is None:
+            self.pending_releases.append(call.onward_termination)
             return
-        self.fabric.record.add(self.kernel.now(), "subtracted", self.name, side.name, held.onward)
-        self.take_back(side, held.onward)
-
-    def ask_again(self, side: AgentSide, number: int, termination: str) -> None:
-        if side.connection is not None and side.transactions.open.get(number) == termination:
-            side.connection.session.send(package.subtract_text(number, "*", termination))
-            again = self.kernel.now() + 1_000_000_000
-            self.kernel.at(again, lambda: self.ask_again(side, number, termination))
-
-    def take_back(self, side: AgentSide, termination: str) -> None:
-        """Asked again until it is answered."""
-        if side.connection is not None:
-            number = side.connection.session.request(
-                termination, lambda number: package.subtract_text(number, "*", termination)
+        self.fabric.record.add(self.kernel.now(), "subtracted", self.name, peer.name, call.onward_termination)
+        self.send_release(peer, call.onward_termination)
+
+    def repeat_release(self, peer: AgentPeer, transaction_id: int, termination: str) -> None:
+        """Repeats a release every second while it is unanswered on this connection."""
+        if peer.connection is not None and peer.transactions.open.get(transaction_id) == termination:
+            peer.connection.session.send(package.subtract_text(transaction_id, "*", termination))
+            repeat_at = self.kernel.now() + 1_000_000_000
+            self.kernel.at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
+
+    def send_release(self, peer: AgentPeer, termination: str) -> None:
+        """Sends a release to the own agent and repeats it until it is answered."""
+        if peer.connection is not None:
+            transaction_id = peer.connection.session.request(
+                termination, lambda transaction_id: package.subtract_text(transaction_id, "*", termination)
             )
-            again = self.kernel.now() + 1_000_000_000
-            self.kernel.at(again, lambda: self.ask_again(side, number, termination))
+            repeat_at = self.kernel.now() + 1_000_000_000
+            self.kernel.at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
 
-    def onward_ended(self, side: AgentSide, termination: str, code: int) -> None:
-        """The own agent confirms it: from now on nothing more may come for that call."""
+    def handle_release_reply(self, peer: AgentPeer, termination: str, code: int) -> None:
+        """Handles the reply to a release: once confirmed, no further answer to that call is valid."""
         if code not in (0, package.UNKNOWN_TERMINATION):
-            self.take_back(side, termination)  # it could not read the request
+            self.send_release(peer, termination)  # the agent could not read the request
             return
-        self.fabric.record.add(self.kernel.now(), "confirmed", self.name, side.name, termination)
-        for number, kept in list(side.transactions.open.items()):
-            if isinstance(kept, Held) and kept.onward == termination:
-                side.transactions.give_up(number)
-
-    def onward_dropped(self, side: AgentSide, held: Held) -> None:
-        self.fabric.record.add(self.kernel.now(), "dropped", self.name, side.name, held.onward)
-        self.owed.append(held.onward)  # it may stand there, with its answer lost
-        owner = self.onward.pop(held.onward, None)
-        if owner is not None and held.state == "onward":
-            self.refuse(owner[0], held, "turned_back")
-
-    def onward_answered(self, held: Held, outcome: Outcome) -> None:
-        owner = self.onward.get(held.onward)
-        own = self.agents.get(self.own_agent)
-        if own is not None:
+        self.fabric.record.add(self.kernel.now(), "confirmed", self.name, peer.name, termination)
+        for transaction_id, request in list(peer.transactions.open.items()):
+            if isinstance(request, ExchangeCall) and request.onward_termination == termination:
+                peer.transactions.give_up(transaction_id)
+
+    def handle_onward_lost(self, peer: AgentPeer, call: ExchangeCall) -> None:
+        """Handles a transit set-up whose connection was lost before its answer."""
+        self.fabric.record.add(self.kernel.now(), "dropped", self.name, peer.name, call.onward_termination)
+        self.pending_releases.append(call.onward_termination)  # its answer may be what was lost
+        entry = self.onward_calls.pop(call.onward_termination, None)
+        if entry is not None and call.state == "onward":
+            self.refuse(entry[0], call, "turned_back")
+
+    def handle_onward_reply(self, call: ExchangeCall, outcome: Outcome) -> None:
+        """Handles the own agent's answer to a transit set-up."""
+        entry = self.onward_calls.get(call.onward_termination)
+        own_peer = self.agents.get(self.own_agent)
+        if own_peer is not None:
             self.fabric.record.add(
                 self.kernel.now(),
                 "answered",
                 self.name,
-                own.name,
-                held.onward,
+                own_peer.name,
+                call.onward_termination,
                 code=outcome.code,
-                text="unsure" if self.unsure else "",
+                text="unsure" if self.time_uncertain else "",
             )
-        if owner is None or held.state != "onward":
+        if entry is None or call.state != "onward":
             return
-        side = owner[0]
+        peer = entry[0]
         if outcome.code == 0:
-            self.stands(side, held)
+            self.establish(peer, call)
             return
-        self.onward.pop(held.onward, None)
+        self.onward_calls.pop(call.onward_termination, None)
         self.refuse(
-            side, held, outcome.cause if outcome.cause in ("turned_back", "beyond_full") else "turned_back"
+            peer, call, outcome.cause if outcome.cause in ("turned_back", "beyond_full") else "turned_back"
         )
 
-    # What happens to calls from outside.
+    # Faults and the state of calls, used by a rehearsal.
 
-    def cut(self, side: AgentSide, held: Held) -> None:
-        """A standing call is cut: its circuits are free, and whoever set it up is told."""
-        if held.state == "over":
+    def cut_call(self, peer: AgentPeer, call: ExchangeCall) -> None:
+        """Cuts an established call: frees its circuits and notifies the agent that set it up."""
+        if call.state == "over":
             return
-        self.free(side, held)
-        self.fabric.record.add(self.kernel.now(), "cut", self.name, side.name, held.asked.termination)
-        if side.connection is not None:
-            side.connection.session.request(
+        self.end_call(peer, call)
+        self.fabric.record.add(self.kernel.now(), "cut", self.name, peer.name, call.request.termination)
+        if peer.connection is not None:
+            peer.connection.session.request(
                 None,
-                lambda number: package.notify_text(
-                    number, str(held.context), held.asked.termination, ["ptc/cut"]
+                lambda transaction_id: package.notify_text(
+                    transaction_id, str(call.context), call.request.termination, ["ptc/cut"]
                 ),
             )
 
-    def standing(self) -> list[tuple[AgentSide, Held]]:
+    def established_calls(self) -> list[tuple[AgentPeer, ExchangeCall]]:
+        """All established calls, each with the agent that set it up."""
         return [
-            (side, held)
-            for side in self.agents.values()
-            for held in list(side.held.values())
-            if held.state == "stands"
+            (peer, call)
+            for peer in self.agents.values()
+            for call in list(peer.held.values())
+            if call.state == "stands"
         ]
 
-    def tell_groups(self, groups: Iterable[Group]) -> None:
-        side = self.agents.get(self.own_agent)
-        if side is None or side.connection is None:
+    def report_groups(self, groups: Iterable[Group]) -> None:
+        """Reports the free circuits of `groups` to the own agent, at most 100 groups in a message."""
+        peer = self.agents.get(self.own_agent)
+        if peer is None or peer.connection is None:
             return
         events = []
         for group in groups:
-            other = group.ends[0] if group.ends[1] == self.number else group.ends[1]
-            events.append(package.group_event(other, group.free(), group.working()))
-        for at in range(0, len(events), 100):
-            side.connection.session.request(
+            other_end = group.ends[0] if group.ends[1] == self.number else group.ends[1]
+            events.append(package.group_event(other_end, group.free(), group.working()))
+        for start in range(0, len(events), 100):
+            peer.connection.session.request(
                 None,
-                lambda number, at=at: package.notify_text(  # type: ignore[misc]
-                    number, "-", "ROOT", events[at : at + 100]
+                lambda transaction_id, start=start: package.notify_text(  # type: ignore[misc]
+                    transaction_id, "-", "ROOT", events[start : start + 100]
                 ),
             )
 
-    def held_circuits(self) -> Iterable[tuple[tuple[int, int], int]]:
-        for side in self.agents.values():
-            for held in side.held.values():
-                if held.circuits:
+    def circuits_in_use(self) -> Iterable[tuple[tuple[int, int], int]]:
+        """The circuits that calls hold here: the exchanges at both ends, lower number first, and how many."""
+        for peer in self.agents.values():
+            for call in peer.held.values():
+                if call.has_circuits:
                     yield (
                         (
-                            (side.number, self.number)
-                            if side.number < self.number
-                            else (self.number, side.number)
+                            (peer.number, self.number)
+                            if peer.number < self.number
+                            else (self.number, peer.number)
                         ),
-                        held.asked.width,
+                        call.request.width,
                     )
 
-    def drop_all(self, tell: bool) -> None:
-        """All calls here end; `tell`: those who set them up hear of it (else they find out)."""
-        for side in self.agents.values():
-            for held in list(side.held.values()):
-                if tell and held.state == "stands":
-                    self.cut(side, held)
-                self.free(side, held)
-                self.give(side, held)  # also where its release still waited for the processor
+    def end_all_calls(self, notify: bool) -> None:
+        """Ends all calls. `notify`: the agents that set up established calls are notified."""
+        for peer in self.agents.values():
+            for call in list(peer.held.values()):
+                if notify and call.state == "stands":
+                    self.cut_call(peer, call)
+                self.end_call(peer, call)
+                self.free_circuits(peer, call)  # also for a release still queued at the processor
 
     def restart_cold(self) -> None:
-        """Comes back after a crash: all connections reset, all calls gone, cold."""
-        self.drop_all(tell=False)
+        """Simulates a crash and restart: connections are reset, calls are lost, the processor is cold."""
+        self.end_all_calls(notify=False)
         for connection in list(self.connections):
             connection.stream.abort()
-        self.onward.clear()
+        self.onward_calls.clear()
         self.processor.restart(cold=True)
         self.started_at = self.kernel.now()
 
     def stop(self) -> None:
-        """For good: a replaced exchange."""
+        """Stops the exchange for good, as one that is replaced."""
         self.stopped = True
-        self.drop_all(tell=True)
+        self.end_all_calls(notify=True)
         self.listener.close()
         for connection in list(self.connections):
             connection.stream.close()
--- a/peattrestle/standin/processor.py
+++ b/peattrestle/standin/processor.py
@@ -1,4 +1,4 @@
-"""An exchange's processor: one line, two queues, a speed that faults and cold starts change."""
+"""A model of an exchange's processor: one server, two queues, and a variable speed."""
 
 from __future__ import annotations
 
@@ -11,10 +11,15 @@
 
 
 class Processor:
-    """Work is in nanoseconds at full speed. Answers and releases go before set-ups where `urgent_first`.
+    """A single server whose speed depends on faults and on the time since a cold start.
 
-    Cold: from `cold_from` of its speed to all of it over `cold_time`. Where set-ups come at more than
-    `fall_multiple` times what it can do for `fall_time` while it is cold, it falls over and stays down.
+    Work is given in nanoseconds at full speed. With `urgent_first`, answers and releases precede set-ups. A
+    set-up that would wait longer than `wait_limit` is turned away. `setup_work` is the work of one set-up,
+    from which the capacity is computed.
+
+    After a cold start the speed rises from `cold_from` of full speed to full speed over `cold_time`. While it
+    is cold, set-ups at more than `fall_multiple` times the capacity over `fall_time` make the processor fail:
+    it then accepts work and finishes none until it is restarted.
     """
 
     def __init__(
@@ -33,116 +38,124 @@
         self.cold_from, self.cold_time = cold_from, cold_time
         self.fall_multiple, self.fall_time = fall_multiple, fall_time
         self.urgent_first = urgent_first
-        self.slowness = 1.0
-        self.silent = False  # takes work and finishes none
-        self.fallen = False
+        self.slowdown = 1.0
+        self.silent = False  # accepts work and finishes none
+        self.failed = False
         self.cold_since: int | None = None
-        self.worst_pressure = 0.0  # nearest approach to the rule's limit, as a share of it
-        self.cold_windows = 0
-        self.done_work = self.offered_work = 0
-        self.asked = 0  # set-ups sent here so far, those turned away too
+        self.peak_cold_load = 0.0  # highest load while cold, as a share of the limit of the cold start rule
+        self.cold_samples = 0
+        self.completed_work = self.offered_work = 0
+        self.set_ups_received = 0  # all set-ups so far, including those turned away
         self._setups: deque[tuple[int, Callable[[], None]]] = deque()
         self._urgent: deque[tuple[int, Callable[[], None]]] = deque()
         self._waiting_work = 0
         self._busy = False
         self._recent: deque[tuple[int, str]] = deque()
-        self.on_fall: Callable[[list[str]], None] = lambda senders: None
-        self._run = 0
+        self.on_failure: Callable[[list[str]], None] = lambda senders: None
+        self._generation = 0
 
-    def share(self) -> float:
-        """Of full speed, by how warm it is."""
+    def speed(self) -> float:
+        """Present speed as a share of full speed, by how long ago the cold start was."""
         if self.cold_since is None:
             return 1.0
-        passed = self.kernel.now() - self.cold_since
-        if passed >= self.cold_time:
+        elapsed = self.kernel.now() - self.cold_since
+        if elapsed >= self.cold_time:
             self.cold_since = None
             return 1.0
-        return self.cold_from + (1 - self.cold_from) * passed / self.cold_time
+        return self.cold_from + (1 - self.cold_from) * elapsed / self.cold_time
 
     def restart(self, cold: bool) -> None:
-        """What waited is gone; its callers learn nothing."""
+        """Restarts the processor; queued work is dropped without an answer."""
         self._setups.clear()
         self._urgent.clear()
         self._recent.clear()
         self._waiting_work = 0
-        self._busy = self.silent = self.fallen = False
-        self._run += 1
+        self._busy = self.silent = self.failed = False
+        self._generation += 1
         self.cold_since = self.kernel.now() if cold else None
 
-    def wait(self) -> int:
-        """Nanoseconds that a set-up coming now would wait."""
-        return round(self._waiting_work * self.slowness / self.share())
+    def expected_wait(self) -> int:
+        """Nanoseconds that a set-up arriving now would wait."""
+        return round(self._waiting_work * self.slowdown / self.speed())
 
-    def queue(self) -> int:
+    def queue_length(self) -> int:
+        """Set-ups that wait."""
         return len(self._setups)
 
-    def rate(self) -> float:
-        """Set-ups a second that it can take."""
-        return SECOND / self.setup_work * self.share() / self.slowness
+    def set_up_rate(self) -> float:
+        """Set-ups a second that it can process at its present speed."""
+        return SECOND / self.setup_work * self.speed() / self.slowdown
+
+    def submit_set_up(self, work: int, done: Callable[[], None], sender: str) -> bool:
+        """Queues a set-up from the agent `sender`; `done` is called when it has been processed.
 
-    def set_up(self, work: int, done: Callable[[], None], sender: str) -> bool:
-        """False when it is full; turning one away costs some work too. `sender`: the agent that sent it."""
-        self._note_pressure(sender)
-        self.asked += 1
-        if self.fallen:
-            return True  # takes it and answers none
+        Returns False where the queue is full; a refusal costs a quarter of the work. A failed processor
+        returns True and never calls `done`.
+        """
+        self._track_cold_load(sender)
+        self.set_ups_received += 1
+        if self.failed:
+            return True  # accepted, and never answered
         self.offered_work += work
-        if self.wait() > self.wait_limit:
-            self.urgent(work // 4, lambda: None)
+        if self.expected_wait() > self.wait_limit:
+            self.submit_urgent(work // 4, lambda: None)
             return False
         self._setups.append((work, done))
         self._waiting_work += work
         self._next()
         return True
 
-    def urgent(self, work: int, done: Callable[[], None]) -> None:
+    def submit_urgent(self, work: int, done: Callable[[], None]) -> None:
+        """Queues an answer or a release."""
         (self._urgent if self.urgent_first else self._setups).append((work, done))
         self._waiting_work += work
         self._next()
 
-    def _note_pressure(self, sender: str) -> None:
-        share = self.share()
-        if self.cold_since is None or self.fallen:
+    def _track_cold_load(self, sender: str) -> None:
+        """Measures the load of a cold processor, and makes it fail above the limit."""
+        speed = self.speed()
+        if self.cold_since is None or self.failed:
             return
         now = self.kernel.now()
         self._recent.append((now, sender))
         while self._recent[0][0] <= now - self.fall_time:
             self._recent.popleft()
-        can = SECOND / self.setup_work * share * self.fall_time / SECOND
-        self.cold_windows += 1
-        pressure = len(self._recent) / (self.fall_multiple * can)
-        self.worst_pressure = max(self.worst_pressure, pressure)
-        if pressure > 1:
-            self.fallen = True
-            self.on_fall([f"{name}@{at}" for at, name in self._recent])
+        capacity = SECOND / self.setup_work * speed * self.fall_time / SECOND
+        self.cold_samples += 1
+        load = len(self._recent) / (self.fall_multiple * capacity)
+        self.peak_cold_load = max(self.peak_cold_load, load)
+        if load > 1:
+            self.failed = True
+            self.on_failure([f"{name}@{at}" for at, name in self._recent])
 
     def _next(self) -> None:
-        if self._busy or self.silent or self.fallen:
+        """Starts the next piece of work, if idle."""
+        if self._busy or self.silent or self.failed:
             return
-        line = self._urgent or self._setups
-        if not line:
+        queue = self._urgent or self._setups
+        if not queue:
             return
-        work, done = line.popleft()
+        work, done = queue.popleft()
         self._busy = True
-        run = self._run
-        length = round(work * self.slowness / self.share())
+        generation = self._generation
+        duration = round(work * self.slowdown / self.speed())
 
         def finished() -> None:
-            if run != self._run:
+            if generation != self._generation:
                 return
             self._busy = False
-            if self.silent:  # it comes to this again when it wakes
-                line.appendleft((work, done))
+            if self.silent:  # processed again after `resume`
+                queue.appendleft((work, done))
                 return
             self._waiting_work -= work
-            self.done_work += work
-            if not self.fallen:
+            self.completed_work += work
+            if not self.failed:
                 done()
             self._next()
 
-        self.kernel.at(self.kernel.now() + length, finished)
+        self.kernel.at(self.kernel.now() + duration, finished)
 
-    def wake(self) -> None:
-        """After silence that did not end in a restart."""
+    def resume(self) -> None:
+        """Resumes work after silence that did not end in a restart."""
         self.silent = False
         self._next()
