--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -125,11 +125,11 @@
         world.set_rates()
         self.troubles.schedule(script.trouble, started)
         arrivals = [
-            kernel.spawn(gateway.arrivals(), f"arrivals {gateway.label}") for gateway in world.gateways
+            kernel.spawn(gateway.generate_calls(), f"arrivals {gateway.label}") for gateway in world.gateways
         ]
         while kernel.now() < started + script.length:
             yield from kernel.sleep(20 * MS if script.calls else 100 * MS)
-            if script.calls and sum(len(gateway.sales) for gateway in world.gateways) >= script.calls:
+            if script.calls and sum(len(gateway.calls) for gateway in world.gateways) >= script.calls:
                 break
         for task in arrivals:
             task.cancel()
@@ -138,14 +138,14 @@
         until = max(kernel.now(), latest) + 30 * SECOND
         while kernel.now() < until and (
             kernel.now() < latest
-            or any(gateway.open_dials() or self.pending(gateway) for gateway in world.gateways)
+            or any(gateway.open_attempts() or self.pending(gateway) for gateway in world.gateways)
         ):
             yield from kernel.sleep(100 * MS)
         for gateway in world.gateways:
             gateway.close()
-            for dial in list(gateway.dials.values()):
-                gateway.leave(dial)
-                gateway.hang_up(dial)
+            for attempt in list(gateway.attempts.values()):
+                gateway.abandon(attempt)
+                gateway.hang_up(attempt)
         yield from kernel.sleep(5 * SECOND)  # releases are confirmed or sent again within this
         world.note_pressure()
         self.leaks = world.fabric.leaks() + sum(
@@ -157,7 +157,7 @@
     def pending(self, gateway: Any) -> bool:
         """Whether some caller may yet dial again."""
         longest = max(one.abandon_time for one in self.script.bearer)
-        last = gateway.sales[-1].first_at if gateway.sales else 0
+        last = gateway.calls[-1].first_at if gateway.calls else 0
         return bool(self.kernel.now() < last + longest)
 
     def set_level(self, level: float) -> None:
@@ -197,7 +197,7 @@
             share,
             earned.offered,
             callers.get("asked", 0),
-            sum(len(one.sales) for one in world.gateways),
+            sum(len(one.calls) for one in world.gateways),
             {f"p{name}": delays.get_value_at_percentile(name) / 1000 for name in (50, 90, 99)}
             if earned.delays
             else {},
--- a/peattrestle/rehearsal/series.py
+++ b/peattrestle/rehearsal/series.py
@@ -82,15 +82,15 @@
         offered, earned = [0.0] * seconds, [0.0] * seconds
         out.firsts, out.stood, out.dials = [0] * seconds, [0] * seconds, [0] * seconds
         for gateway in gateways:
-            for sale in gateway.sales:
-                second = (sale.first_at - started) // SECOND
+            for call in gateway.calls:
+                second = (call.first_at - started) // SECOND
                 if 0 <= second < seconds:
-                    bearer = gateway.bearer(sale)
+                    bearer = gateway.bearer(call)
                     out.firsts[second] += 1
                     offered[second] += bearer.revenue
-                    earned[second] += gateway.worth(sale)
-                stood = (sale.stood_at - started) // SECOND
-                if sale.stood_at >= 0 and 0 <= stood < seconds:
+                    earned[second] += gateway.earned_revenue(call)
+                stood = (call.established_at - started) // SECOND
+                if call.established_at >= 0 and 0 <= stood < seconds:
                     out.stood[stood] += 1
         for row in self.world.record.rows:
             if row.kind == "asked" and row.place.startswith("gateway"):
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -216,11 +216,11 @@
         number = f"hot.{destination}"
         self.world.fabric.line_limits[number] = 3
         for gateway in self.world.gateways:
-            gateway.traffic.hot = (number, destination, min(1.0, one.figure))
+            gateway.traffic.hot_number = (number, destination, min(1.0, one.figure))
 
         def undo() -> None:
             for gateway in self.world.gateways:
-                gateway.traffic.hot = None
+                gateway.traffic.hot_number = None
 
         return undo
 
@@ -253,13 +253,13 @@
         last = {gateway.number: gateway for gateway in self.world.gateways}
         floods = [gateway for number, gateway in last.items() if number in numbers]
         for gateway in floods:
-            gateway.flood = gateway.flooded = True
-            gateway.multiple = max(1.0, one.figure)
+            gateway.is_flooding = gateway.flooded = True
+            gateway.rate_multiple = max(1.0, one.figure)
         self.world.set_rates()
 
         def undo() -> None:
             for gateway in floods:
-                gateway.flood, gateway.multiple = False, 1.0
+                gateway.is_flooding, gateway.rate_multiple = False, 1.0
             self.world.set_rates()
 
         return undo
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -8,7 +8,7 @@
 from peattrestle.rehearsal.script import Script
 from peattrestle.runtime import Kernel
 from peattrestle.settings import agent as settings
-from peattrestle.standin.callers import BearerFigures, Gateway, Habits, Traffic
+from peattrestle.standin.callers import BearerProfile, Gateway, Habits, Traffic
 from peattrestle.standin.exchange import StandinExchange
 from peattrestle.standin.fabric import Fabric, ProcessorSettings
 from peattrestle.standin.hubs import HubRegistry
@@ -53,7 +53,7 @@
             ),
         )
         self.bearers = [
-            BearerFigures(
+            BearerProfile(
                 one.label,
                 one.share,
                 one.gos_target,
@@ -168,7 +168,7 @@
                 if gateway.number in who:
                     level *= multiple
             fleet = self.script.fleet
-            gateway.traffic.rate = fleet.calls_a_second * level * gateway.multiple / fleet.gateways
+            gateway.traffic.rate = fleet.calls_a_second * level * gateway.rate_multiple / fleet.gateways
 
     def note_pressure(self) -> None:
         """The processors' own books on rule 4, for the judge: at the end, before restarts too."""
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Sale:
+class CallerCall:
     """The call that one caller wants, over all its attempts. Times in nanoseconds; -1 for never.
 
     `cut`: the established call was cut. `reestablished`: it was set up again after that.
@@ -28,23 +28,23 @@
     number: str
     first_at: int
     tries: int = 0
-    stood_at: int = -1
+    established_at: int = -1
     cut: bool = False
-    returned: bool = False
+    reestablished: bool = False
 
 
 @dataclass(slots=True)
-class Dial:
+class Attempt:
     """One attempt of a caller.
 
     `state` is 'asked' (set-up sent), 'left' (given up before an answer), 'crossed' (given up, and the answer
     came all the same), 'stands' (established), 'ending' (release sent) or 'over'.
     """
 
-    sale: Sale
+    call: CallerCall
     termination: str
-    transaction: int
-    asked_at: int
+    transaction_id: int
+    sent_at: int
     abandon_at: int
     state: str = "asked"
     timer: Timer | None = None
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class BearerFigures:
+class BearerProfile:
     """A bearer type as callers use it: its share of calls, its times in nanoseconds and its revenue.
 
     `late_revenue`: share of the revenue for a call established after `gos_target`. `width`: circuits of a
@@ -99,9 +99,9 @@
 
     rate: float
     destinations: dict[int, float]
-    bearers: list[BearerFigures]
+    bearers: list[BearerProfile]
     habits: Habits
-    hot: tuple[str, int, float] | None = None
+    hot_number: tuple[str, int, float] | None = None
 
 
 class LeakyBucket:
@@ -164,335 +164,388 @@
         self.session: Session | None = None
         self.stream: Stream | None = None
         self.ready = False
-        self.run = ""
-        self.dials: dict[str, Dial] = {}
-        self.asks: dict[int, str] = {}  # the transaction of each try, so that a second answer is known
-        self.owed: list[str] = []  # to be released when there is a connection again
-        self.sales: list[Sale] = []
+        self.agent_run = ""
+        self.attempts: dict[str, Attempt] = {}
+        self.terminations: dict[int, str] = {}  # by transaction id, to recognise a second answer
+        self.pending_releases: list[str] = []  # calls to release once connected again
+        self.calls: list[CallerCall] = []
         self.counts: dict[str, int] = {}
-        self.dialled = 0
-        self.reply_after_leaving = 0
+        self.attempt_count = 0
+        self.replies_after_abandon = 0
         self.closing = False
-        self.refused_connections = 0
+        self.failed_connections = 0
         self.bucket = LeakyBucket()
-        self.waiting_delay = 0  # as the agent told it
-        self.wanted = Event(kernel)  # a caller dials while there is no connection
-        self.multiple = 1.0  # of its part of the exchange's calls
-        self.greetings: list[int] = []  # when its restarts were taken
-        self.flooded = False  # it has flooded at some time
-        self.flood = False  # offers what it likes and heeds nothing
+        self.waiting_delay = 0  # maximum restart delay announced by the agent (H.248.1), nanoseconds
+        self.dial_requested = Event(kernel)  # set when a caller dials without a connection
+        self.rate_multiple = 1.0  # of its usual share of the exchange's calls
+        self.greetings: list[int] = []  # when the agent accepted its registrations
+        self.flooded = False  # has ignored all advice at some time
+        self.is_flooding = False  # ignores all advice from the agent now
         kernel.spawn(self.connect(), self.name)
 
     def count(self, name: str) -> None:
+        """Adds one to a count of the report."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
-    # The connection.
+    # Connection to the agent.
 
     def connect(self) -> Coroutine[None]:
+        """Keeps the gateway connected until it is closed."""
         while not self.closing:
             try:
                 stream = yield from self.kernel.connect(self.address(), SECOND, self.name)
-                yield from self.converse(stream)
+                yield from self.run_session(stream)
             except (Refused, Lost, BadPeer):
-                self.refused_connections += 1
-            self.lost()
+                self.failed_connections += 1
+            self.on_connection_lost()
             habits = self.traffic.habits
             yield from self.kernel.sleep(self.draw.randint(habits.restart_least, habits.restart_most))
-            if habits.avalanche and not self.flood and self.waiting_delay:
-                # H.248.1's procedure: a drawn wait, that a caller's wish ends.
-                self.wanted = Event(self.kernel)
+            if habits.avalanche and not self.is_flooding and self.waiting_delay:
+                # H.248.1 restart avalanche procedure: a random delay that ends early when a caller dials.
+                self.dial_requested = Event(self.kernel)
                 try:
                     delay = self.draw.randint(0, self.waiting_delay)
-                    yield from self.kernel.within(delay, self.wanted.wait())
+                    yield from self.kernel.within(delay, self.dial_requested.wait())
                 except TimedOut:
                     pass
 
-    def converse(self, stream: Stream) -> Coroutine[None]:
+    def run_session(self, stream: Stream) -> Coroutine[None]:
+        """Registers with the agent and handles what it sends until the connection ends."""
         self.stream = stream
         self.session = session = Session(self.mid, self.transactions, stream.write)
-        self.hello(session)
+        self.send_registration(session)
         try:
             while data := (yield from stream.read()):
-                for heard in session.feed(self.kernel.now(), data):
-                    if isinstance(heard, Answered):
-                        self.answered(heard)
-                    elif isinstance(heard, New):
-                        self.asked(heard)
-                    elif isinstance(heard, Stray) and heard.id in self.asks:
+                for event in session.feed(self.kernel.now(), data):
+                    if isinstance(event, Answered):
+                        self.handle_reply(event)
+                    elif isinstance(event, New):
+                        self.handle_request(event)
+                    elif isinstance(event, Stray) and event.id in self.terminations:
                         self.record.add(
                             self.kernel.now(),
                             "answered",
                             self.name,
                             self.agent,
-                            self.asks[heard.id],
+                            self.terminations[event.id],
                             text="again",
                         )
         finally:
             stream.close()
 
-    def hello(self, session: Session) -> None:
-        method = "Disconnected" if self.run else "Restart"
+    def send_registration(self, session: Session) -> None:
+        """Registers with a ServiceChange: Restart at first, Disconnected after a lost connection."""
+        method = "Disconnected" if self.agent_run else "Restart"
         session.request(
-            "hello", lambda number: package.service_change_text(number, method, "900 Service Restored")
+            "hello",
+            lambda transaction_id: package.service_change_text(
+                transaction_id, method, "900 Service Restored"
+            ),
         )
 
-    def hello_later(self, session: Session, wait: int) -> None:
+    def register_later(self, session: Session, wait: int) -> None:
+        """Registers again after `wait`, as the agent demanded, if the connection is still the same."""
         self.count("restarts_held_back")
         self.kernel.at(
-            self.kernel.now() + wait, lambda: self.hello(session) if self.session is session else None
+            self.kernel.now() + wait,
+            lambda: self.send_registration(session) if self.session is session else None,
         )
 
-    def lost(self) -> None:
-        """Calls that were not answered are lost with the connection; their callers dial again."""
+    def on_connection_lost(self) -> None:
+        """Ends the attempts that were not answered, which are lost with the connection; callers redial."""
         self.session = self.stream = None
         self.ready = False
-        self.bucket = LeakyBucket()  # notices end with the connection
+        self.bucket = LeakyBucket()  # notices apply to one connection only
         self.transactions.lost()
-        for dial in [one for one in self.dials.values() if one.state == "ending"]:
-            self.owed.append(dial.termination)
-            self.over(dial)
-        for dial in [one for one in self.dials.values() if one.state in ("asked", "left", "crossed")]:
-            self.record.add(self.kernel.now(), "dropped", self.name, self.agent, dial.termination)
-            self.owed.append(dial.termination)  # it may stand there, with its answer lost
-            if dial.state == "asked":
+        for attempt in [attempt for attempt in self.attempts.values() if attempt.state == "ending"]:
+            self.pending_releases.append(attempt.termination)
+            self.finish(attempt)
+        for attempt in [
+            attempt for attempt in self.attempts.values() if attempt.state in ("asked", "left", "crossed")
+        ]:
+            self.record.add(self.kernel.now(), "dropped", self.name, self.agent, attempt.termination)
+            self.pending_releases.append(attempt.termination)  # its answer may be what was lost
+            if attempt.state == "asked":
                 self.count("dropped")
-            self.over(dial)
-            self.redial(dial.sale, 0)
-
-    def greeted(self, run: str) -> None:
-        """Another run of the agent knows nothing of what stood: those calls are cut."""
-        if self.run and run != self.run:
-            for dial in [one for one in self.dials.values() if one.state == "stands"]:
-                self.cut(dial)
-        self.run = run
+            self.finish(attempt)
+            self.redial(attempt.call, 0)
+
+    def on_registered(self, agent_run: str) -> None:
+        """Handles the accepted registration; a restarted agent has forgotten the established calls: they are
+        cut.
+        """
+        if self.agent_run and agent_run != self.agent_run:
+            for attempt in [attempt for attempt in self.attempts.values() if attempt.state == "stands"]:
+                self.on_call_cut(attempt)
+        self.agent_run = agent_run
         self.ready = True
         self.greetings.append(self.kernel.now())
-        owed, self.owed = self.owed[-10_000:], []
-        for termination in owed:
-            self.release(termination)
+        releases, self.pending_releases = self.pending_releases[-10_000:], []
+        for termination in releases:
+            self.send_pending_release(termination)
 
-    def release(self, termination: str) -> None:
+    def send_pending_release(self, termination: str) -> None:
+        """Releases a call that ended while there was no connection."""
         if self.session is not None:
-            self.session.request(None, lambda number: package.subtract_text(number, "*", termination))
+            self.session.request(
+                None, lambda transaction_id: package.subtract_text(transaction_id, "*", termination)
+            )
 
     # Calls.
 
-    def arrivals(self) -> Coroutine[None]:
-        """New sales as a Poisson stream at the traffic's present rate."""
+    def generate_calls(self) -> Coroutine[None]:
+        """Generates new calls as a Poisson process at the present rate of the traffic."""
         while not self.closing:
             rate = self.traffic.rate
             wait = self.draw.expovariate(rate) if rate > 0 else 0.1
             yield from self.kernel.sleep(min(round(wait * SECOND), SECOND))
             if rate > 0 and wait <= 1.0 and not self.closing:
-                self.new_sale()
+                self.start_call()
 
-    def new_sale(self) -> Sale:
+    def start_call(self) -> CallerCall:
+        """Draws a new call and makes its first attempt."""
         traffic, draw = self.traffic, self.draw
-        bearer = draw.choices(traffic.bearers, [one.share for one in traffic.bearers])[0]
-        if traffic.hot is not None and traffic.hot[1] != self.number and draw.random() < traffic.hot[2]:
-            number, destination = traffic.hot[0], traffic.hot[1]
+        bearer = draw.choices(traffic.bearers, [bearer.share for bearer in traffic.bearers])[0]
+        if (
+            traffic.hot_number is not None
+            and traffic.hot_number[1] != self.number
+            and draw.random() < traffic.hot_number[2]
+        ):
+            number, destination = traffic.hot_number[0], traffic.hot_number[1]
         else:
             destination = draw.choices(list(traffic.destinations), list(traffic.destinations.values()))[0]
             number = f"dn.{destination}.{draw.randrange(10_000)}"
-        sale = Sale(bearer.name, destination, number, self.kernel.now())
-        self.sales.append(sale)
-        self.dial(sale)
-        return sale
-
-    def bearer(self, sale: Sale) -> BearerFigures:
-        return next(one for one in self.traffic.bearers if one.name == sale.bearer_type)
-
-    def worth(self, sale: Sale) -> float:
-        """What it earned: a call that stood within the GoS target of its first try, not cut for good."""
-        bearer = self.bearer(sale)
-        if sale.stood_at < 0 or (sale.cut and not sale.returned):
+        call = CallerCall(bearer.name, destination, number, self.kernel.now())
+        self.calls.append(call)
+        self.dial(call)
+        return call
+
+    def bearer(self, call: CallerCall) -> BearerProfile:
+        """The properties of the call's bearer type."""
+        return next(bearer for bearer in self.traffic.bearers if bearer.name == call.bearer_type)
+
+    def earned_revenue(self, call: CallerCall) -> float:
+        """Revenue earned by a call: in full within the GoS target of its first attempt, in part later.
+
+        Nothing is earned by a call that was never established, or was cut and not set up again.
+        """
+        bearer = self.bearer(call)
+        if call.established_at < 0 or (call.cut and not call.reestablished):
             return 0.0
-        in_time = sale.stood_at - sale.first_at <= bearer.gos_target
+        in_time = call.established_at - call.first_at <= bearer.gos_target
         return bearer.revenue * (1.0 if in_time else bearer.late_revenue)
 
-    def dial(self, sale: Sale, again_after_cut: bool = False) -> None:
-        now, bearer, habits = self.kernel.now(), self.bearer(sale), self.traffic.habits
+    def dial(self, call: CallerCall, again_after_cut: bool = False) -> None:
+        """Makes an attempt: sends a set-up, or redials later where the gateway may not or cannot send.
+
+        `again_after_cut`: the call was established before and was cut.
+        """
+        now, bearer, habits = self.kernel.now(), self.bearer(call), self.traffic.habits
         if self.session is None or not self.ready:
             self.count("no_connection")
-            self.wanted.set()
-            self.redial(sale, 0)
+            self.dial_requested.set()
+            self.redial(call, 0)
             return
-        if habits.follows and not self.flood and not self.bucket.admits(now, self.room(sale)):
+        if (
+            habits.follows
+            and not self.is_flooding
+            and not self.bucket.admits(now, self.max_bucket_level(call))
+        ):
             self.count("held_by_notice")
-            sale.tries += 1
-            self.redial(sale, 0)
+            call.tries += 1
+            self.redial(call, 0)
             return
-        patience = round(bearer.abandon_time * self.draw.uniform(habits.patience_least, habits.patience_most))
-        leaves = patience
+        abandon_after = round(
+            bearer.abandon_time * self.draw.uniform(habits.patience_least, habits.patience_most)
+        )
+        give_up_after = abandon_after
         if habits.leaves_early and self.draw.random() < habits.leaves_early:
-            leaves = round(patience * self.draw.uniform(0.1, 0.5))
-        self.dialled += 1
-        sale.tries += 1
-        termination = f"c/{self.dialled}"
-        asked = SetUpAsked(
+            give_up_after = round(abandon_after * self.draw.uniform(0.1, 0.5))
+        self.attempt_count += 1
+        call.tries += 1
+        termination = f"c/{self.attempt_count}"
+        request = SetUpAsked(
             termination,
-            sale.bearer_type,
-            sale.destination,
-            patience,
-            sale.number,
+            call.bearer_type,
+            call.destination,
+            abandon_after,
+            call.number,
             bearer.width,
-            repeat=habits.marks and sale.tries > 1,
+            repeat=habits.marks and call.tries > 1,
             cut_before=again_after_cut,
-            reference=f"g{self.label}/{self.dialled}",
+            reference=f"g{self.label}/{self.attempt_count}",
+        )
+        attempt = Attempt(call, termination, 0, now, now + abandon_after)
+        attempt.transaction_id = self.session.request(
+            attempt, lambda transaction_id: package.add_text(transaction_id, request)
         )
-        dial = Dial(sale, termination, 0, now, now + patience)
-        dial.transaction = self.session.request(dial, lambda number: package.add_text(number, asked))
-        self.dials[termination] = dial
+        self.attempts[termination] = attempt
         if habits.repeats and self.draw.random() < habits.repeats:
-            self.kernel.at(now + 50 * MS, lambda: self.repeat(dial, asked))
-        self.asks[dial.transaction] = termination
-        if len(self.asks) > 20_000:
-            del self.asks[next(iter(self.asks))]
+            self.kernel.at(now + 50 * MS, lambda: self.resend(attempt, request))
+        self.terminations[attempt.transaction_id] = termination
+        if len(self.terminations) > 20_000:
+            del self.terminations[next(iter(self.terminations))]
         self.count("asked")
         self.record.add(
-            now, "asked", self.name, self.agent, termination, asked.reference, value=now + patience
+            now, "asked", self.name, self.agent, termination, request.reference, value=now + abandon_after
         )
-        dial.timer = self.kernel.at(now + leaves, lambda: self.leave(dial))
-
-    def room(self, sale: Sale) -> float:
-        """A first call may use the bucket's burst; one that can no longer stand in time may not."""
-        late = self.kernel.now() - sale.first_at > self.bearer(sale).gos_target
-        return 0.0 if late else 2.0
-
-    def repeat(self, dial: Dial, asked: SetUpAsked) -> None:
-        """The same request once more, as over a lossy way: it may be answered again, and alike."""
-        if self.session is not None and dial.state in ("asked", "stands"):
-            self.record.add(self.kernel.now(), "repeated", self.name, self.agent, dial.termination)
-            self.session.send(package.add_text(dial.transaction, asked))
-
-    def answered(self, heard: Answered) -> None:
-        now, kept = self.kernel.now(), heard.kept
-        if kept == "hello":
-            found = package.first_command(heard.reply.actions)
-            services = found[1].find("Services") if found else None
+        attempt.timer = self.kernel.at(now + give_up_after, lambda: self.abandon(attempt))
+
+    def max_bucket_level(self, call: CallerCall) -> float:
+        """How full the bucket may be for this call: late calls may not use the burst allowance."""
+        is_late = self.kernel.now() - call.first_at > self.bearer(call).gos_target
+        return 0.0 if is_late else 2.0
+
+    def resend(self, attempt: Attempt, request: SetUpAsked) -> None:
+        """Sends the same request again, as on a lossy network; the reply may come twice, unchanged."""
+        if self.session is not None and attempt.state in ("asked", "stands"):
+            self.record.add(self.kernel.now(), "repeated", self.name, self.agent, attempt.termination)
+            self.session.send(package.add_text(attempt.transaction_id, request))
+
+    def handle_reply(self, reply: Answered) -> None:
+        """Handles a reply from the agent."""
+        now, context = self.kernel.now(), reply.kept
+        if context == "hello":
+            first_command = package.first_command(reply.reply.actions)
+            services = first_command[1].find("Services") if first_command else None
             wait = services.find("ptl/wai") if services else None
             if wait is not None and self.session is not None:
-                self.hello_later(self.session, int(wait.value or 0))
+                self.register_later(self.session, int(wait.value or 0))
                 return
             delay = services.find("ptl/mwd") if services else None
             self.waiting_delay = int(delay.value or 0) if delay else 0
-            run = services.find("ptc/run") if services else None
-            self.greeted(run.value or "" if run else "")
-        elif isinstance(kept, Dial):
-            outcome = package.read_outcome(heard.reply)
-            self.record.add(now, "answered", self.name, self.agent, kept.termination, code=outcome.code)
-            kind = {0: "stood", package.REFUSED: "refused"}.get(outcome.code, "failed")
-            if kept.state == "left":
-                self.reply_after_leaving += 1  # it crossed the caller's own leaving
-                self.count(kind)
-                kept.state = "crossed"
-            elif kept.state == "asked":
-                self.count(kind)
+            agent_run = services.find("ptc/run") if services else None
+            self.on_registered(agent_run.value or "" if agent_run else "")
+        elif isinstance(context, Attempt):
+            outcome = package.read_outcome(reply.reply)
+            self.record.add(now, "answered", self.name, self.agent, context.termination, code=outcome.code)
+            count_name = {0: "stood", package.REFUSED: "refused"}.get(outcome.code, "failed")
+            if context.state == "left":
+                self.replies_after_abandon += 1  # the answer crossed the caller's release
+                self.count(count_name)
+                context.state = "crossed"
+            elif context.state == "asked":
+                self.count(count_name)
                 if outcome.code == 0:
-                    self.stands(kept)
+                    self.on_established(context)
                 else:
-                    self.over(kept)
-                    self.redial(kept.sale, outcome.come_back)
-        elif isinstance(kept, str) and kept in self.dials:
-            dial = self.dials[kept]
-            self.record.add(now, "confirmed", self.name, self.agent, kept)
-            if dial.state == "left":
+                    self.finish(context)
+                    self.redial(context.call, outcome.come_back)
+        elif isinstance(context, str) and context in self.attempts:
+            attempt = self.attempts[context]
+            self.record.add(now, "confirmed", self.name, self.agent, context)
+            if attempt.state == "left":
                 self.count("left")
-            self.over(dial)
-
-    def stands(self, dial: Dial) -> None:
-        now, sale = self.kernel.now(), dial.sale
-        if dial.timer is not None:
-            dial.timer.cancel()
-        dial.state = "stands"
-        if sale.stood_at < 0 or not sale.cut:
-            sale.stood_at = now
-        sale.returned = sale.cut
-        length = round(self.draw.expovariate(1 / self.bearer(sale).holding))
-        dial.timer = self.kernel.at(now + length, lambda: self.hang_up(dial))
-
-    def leave(self, dial: Dial) -> None:
-        if dial.state == "asked":
-            dial.state = "left"
-            self.subtract(dial)
-            self.redial(dial.sale, 0)
-
-    def hang_up(self, dial: Dial) -> None:
-        if dial.state == "stands":
-            dial.state = "ending"
-            self.subtract(dial)
-
-    def subtract(self, dial: Dial) -> None:
-        self.record.add(self.kernel.now(), "subtracted", self.name, self.agent, dial.termination)
+            self.finish(attempt)
+
+    def on_established(self, attempt: Attempt) -> None:
+        """Handles an answer with which the call is established, and draws its duration."""
+        now, call = self.kernel.now(), attempt.call
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        attempt.state = "stands"
+        if call.established_at < 0 or not call.cut:
+            call.established_at = now
+        call.reestablished = call.cut
+        duration = round(self.draw.expovariate(1 / self.bearer(call).holding))
+        attempt.timer = self.kernel.at(now + duration, lambda: self.hang_up(attempt))
+
+    def abandon(self, attempt: Attempt) -> None:
+        """Gives up an attempt that has not been answered."""
+        if attempt.state == "asked":
+            attempt.state = "left"
+            self.send_release(attempt)
+            self.redial(attempt.call, 0)
+
+    def hang_up(self, attempt: Attempt) -> None:
+        """Ends an established call."""
+        if attempt.state == "stands":
+            attempt.state = "ending"
+            self.send_release(attempt)
+
+    def send_release(self, attempt: Attempt) -> None:
+        """Sends the release of an attempt, or keeps it until there is a connection."""
+        self.record.add(self.kernel.now(), "subtracted", self.name, self.agent, attempt.termination)
         if self.session is not None:
             self.session.request(
-                dial.termination, lambda number: package.subtract_text(number, "*", dial.termination)
+                attempt.termination,
+                lambda transaction_id: package.subtract_text(transaction_id, "*", attempt.termination),
             )
         else:
-            self.owed.append(dial.termination)
-            self.over(dial)
-
-    def over(self, dial: Dial) -> None:
-        if dial.timer is not None:
-            dial.timer.cancel()
-        dial.state = "over"
-        self.dials.pop(dial.termination, None)
-
-    def asked(self, heard: New) -> None:
-        found = package.first_command(heard.request.actions)
-        assert found is not None and self.session is not None
-        action, command = found
+            self.pending_releases.append(attempt.termination)
+            self.finish(attempt)
+
+    def finish(self, attempt: Attempt) -> None:
+        """Forgets an attempt."""
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        attempt.state = "over"
+        self.attempts.pop(attempt.termination, None)
+
+    def handle_request(self, event: New) -> None:
+        """Handles a request from the agent: a rate notice, or that a call was cut."""
+        first_command = package.first_command(event.request.actions)
+        assert first_command is not None and self.session is not None
+        action, command = first_command
         notice = package.read_rate(command) if command.name == "Notify" else None
         if notice is not None:
             self.count("notices" if notice.lifetime else "notices_lifted")
             self.bucket.update(self.kernel.now(), notice)
         if command.name == "Notify" and package.is_cut(command):
-            dial = self.dials.get(command.termination)
-            if dial is not None and dial.state == "stands":
-                self.cut(dial)
+            attempt = self.attempts.get(command.termination)
+            if attempt is not None and attempt.state == "stands":
+                self.on_call_cut(attempt)
         self.session.reply(
-            heard.request.id,
-            package.command_reply(heard.request.id, action.context, command.name, command.termination),
+            event.request.id,
+            package.command_reply(event.request.id, action.context, command.name, command.termination),
         )
 
-    def cut(self, dial: Dial) -> None:
-        sale, habits = dial.sale, self.traffic.habits
+    def on_call_cut(self, attempt: Attempt) -> None:
+        """Handles a cut call: its caller dials again after a random wait."""
+        call, habits = attempt.call, self.traffic.habits
         self.count("cut")
-        self.over(dial)
-        sale.cut, sale.returned, sale.tries = True, False, 0
+        self.finish(attempt)
+        call.cut, call.reestablished, call.tries = True, False, 0
         wait = self.draw.randint(habits.return_least, habits.return_most)
-        self.kernel.at(self.kernel.now() + wait, lambda: None if self.closing else self.dial(sale, True))
+        self.kernel.at(self.kernel.now() + wait, lambda: None if self.closing else self.dial(call, True))
+
+    def redial(self, sale: CallerCall, come_back: int) -> None:
+        """Schedules the caller's next attempt, unless the caller gives up first.
 
-    def redial(self, sale: Sale, come_back: int) -> None:
+        `come_back`: nanoseconds after which the agent advises to try again; 0 for no advice.
+        """
         habits = self.traffic.habits
         if sale.tries > habits.redials or self.closing:
             return
         wait = self.draw.randint(habits.redial_least, habits.redial_most)
-        if come_back and not self.flood and self.draw.random() < habits.honours:
+        if come_back and not self.is_flooding and self.draw.random() < habits.honours:
             wait = come_back
         if self.kernel.now() + wait < sale.first_at + self.bearer(sale).abandon_time:
             if not self.ready:
-                sale.tries += 1  # dialling without a line is a try too, or it would never end
+                sale.tries += 1  # an attempt without a connection counts too, so that they come to an end
             self.kernel.at(
                 self.kernel.now() + wait, lambda: None if self.closing else self.dial(sale, sale.cut)
             )
 
-    # Faults and the end.
+    # Faults and shutdown.
 
     def reset(self) -> None:
+        """Resets the connection."""
         if self.stream is not None:
             self.stream.abort()
 
     def close(self) -> None:
+        """Stops new connections and attempts."""
         self.closing = True
 
-    def open_dials(self) -> int:
-        return sum(1 for one in self.dials.values() if one.state in ("asked", "left"))
+    def open_attempts(self) -> int:
+        """Attempts that have no answer yet."""
+        return sum(1 for attempt in self.attempts.values() if attempt.state in ("asked", "left"))
 
 
 @dataclass(slots=True)
 class Service:
-    """Revenue earned over revenue offered."""
+    """Revenue earned and offered, and the set-up delays of established calls in nanoseconds."""
 
     offered: float = 0.0
     earned: float = 0.0
@@ -500,14 +553,14 @@
 
 
 def service(gateways: list[Gateway], since: int = 0, until: int = 1 << 62) -> Service:
-    """A call that stood within the GoS target of its first try, not cut for good, earns its revenue."""
-    out = Service()
+    """Service of the calls that began in [`since`, `until`); see `Gateway.earned_revenue`."""
+    total = Service()
     for gateway in gateways:
-        for sale in gateway.sales:
-            if not since <= sale.first_at < until:
+        for call in gateway.calls:
+            if not since <= call.first_at < until:
                 continue
-            out.offered += gateway.bearer(sale).revenue
-            out.earned += gateway.worth(sale)
-            if sale.stood_at >= 0:
-                out.delays.append(sale.stood_at - sale.first_at)
-    return out
+            total.offered += gateway.bearer(call).revenue
+            total.earned += gateway.earned_revenue(call)
+            if call.established_at >= 0:
+                total.delays.append(call.established_at - call.first_at)
+    return total
