--- a/peattrestle/rehearsal/hosts.py
+++ b/peattrestle/rehearsal/hosts.py
@@ -19,14 +19,14 @@
 from peattrestle.runtime.virtual import VirtualKernel, VirtualProcess
 from peattrestle.settings import schema
 
-Make = Callable[..., CallAgent]
+AgentFactory = Callable[..., CallAgent]
 
 
 class VirtualHosts:
     """`make` builds an agent; tests hand in one that is broken on purpose."""
 
-    def __init__(self, kernel: VirtualKernel, world: World, make: Make = CallAgent) -> None:
-        self.kernel, self.world, self.make = kernel, world, make
+    def __init__(self, kernel: VirtualKernel, world: World, agent_factory: AgentFactory = CallAgent) -> None:
+        self.kernel, self.world, self.agent_factory = kernel, world, agent_factory
         self.processes: dict[int, VirtualProcess] = {}
         self.agents: dict[int, CallAgent] = {}
         self.stores: dict[int, Store] = {}
@@ -52,7 +52,7 @@
             if level != "debug" and len(self.logs) < 100_000:
                 self.logs.append((self.kernel.now(), settings.label, level, text, fields))
 
-        agent = self.make(process, settings, log, self.stores.setdefault(number, Store()), seed)
+        agent = self.agent_factory(process, settings, log, self.stores.setdefault(number, Store()), seed)
         self.processes[number], self.agents[number] = process, agent
         agent.start()
 
@@ -127,7 +127,7 @@
             process.kill()
             process.wait()
 
-    def died(self) -> list[int]:
+    def exited(self) -> list[int]:
         return [number for number, process in self.processes.items() if process.poll() is not None]
 
     def counts(self) -> dict[int, dict[str, int]]:
--- a/peattrestle/rehearsal/judge.py
+++ b/peattrestle/rehearsal/judge.py
@@ -1,10 +1,10 @@
-"""The five rules, judged from the record of the traffic and from nothing else.
+"""Checks the five rules of call routing against the recorded traffic, and nothing else.
 
-For each rule: how much was examined, the nearest approach to its limit, and every breach with the
-call's whole trace. A rule for which nothing was examined has not been judged, and that fails.
+For each rule a verdict tells how much was examined, how near the traffic came to the limit, and every breach
+with the trace of its call. A rule for which nothing was examined has not been judged and counts as failed.
 
-What the stand-ins see is later than what was sent by the way there; `slack` covers it. Where a stand-in read
-nothing for a while ('unsure'), its times are no evidence: such tries are counted as not judged.
+The simulated surroundings see a message later than it was sent; `slack` allows for that. Times at which a
+surrounding part read nothing for a while ('unsure') are no evidence: such tries are counted as not judged.
 """
 
 from __future__ import annotations
@@ -16,18 +16,24 @@
 from peattrestle.standin.record import Row
 
 MS = 1_000_000
-MOST_BREACHES = 20
+MAX_BREACHES = 20
 
 
 @dataclass(slots=True)
 class Breach:
+    """One breach of a rule, with the rows of the calls concerned."""
+
     text: str
     trace: list[Row]
 
 
 @dataclass(slots=True)
 class Verdict:
-    """`nearest`: how near it came, in words; `must_examine`: whether nothing to examine is a failure."""
+    """The result for one rule.
+
+    `nearest`: in words, how near the traffic came to the limit. `broken`: all breaches, of which `breaches`
+    holds the first. `must_examine`: whether the rule fails where nothing was examined.
+    """
 
     rule: str
     examined: int = 0
@@ -39,12 +45,13 @@
 
     @property
     def passed(self) -> bool:
+        """Whether the rule holds, and was examined where it must be."""
         return self.broken == 0 and (self.examined > 0 or not self.must_examine)
 
 
 @dataclass(slots=True)
 class Limits:
-    """Nanoseconds; `answer_slack` is how much later than the abandon time an answer may be seen."""
+    """Limits in nanoseconds; `answer_slack`: how much later than the abandon time an answer may be seen."""
 
     release_time: int
     drain_grace: int
@@ -53,7 +60,12 @@
 
 
 @dataclass(slots=True)
-class Try:
+class RouteTry:
+    """A route try, from its set-up until it was answered, released or lost. Times in nanoseconds.
+
+    `cut_off`: it ended without a final answer. `unsure`: its times are not reliable.
+    """
+
     agent: str
     reference: str
     termination: str
@@ -65,6 +77,8 @@
 
 
 class Judge:
+    """Derives the verdicts on all rules from the rows of a traffic record."""
+
     def __init__(self, rows: list[Row], limits: Limits) -> None:
         self.rows = sorted(rows, key=lambda row: row.at)
         self.limits = limits
@@ -74,14 +88,25 @@
                 self.kills[row.agent].append(row.at)
 
     def judge(self) -> list[Verdict]:
-        tries = self.tries()
-        return [*self.answers(), self.two_tries(tries), self.drains(), self.cold(), self.releases(tries)]
+        """The verdicts on all rules."""
+        tries = self.route_tries()
+        return [
+            *self.check_answers(),
+            self.check_concurrent_tries(tries),
+            self.check_drains(),
+            self.check_cold_starts(),
+            self.check_release_times(tries),
+        ]
+
+    def add_breach(self, verdict: Verdict, text: str, *keys: str) -> None:
+        """Adds a breach to a verdict, with up to 200 rows of the calls that `keys` name.
 
-    def breach(self, verdict: Verdict, text: str, *keys: str) -> None:
+        A key is a termination or a reference.
+        """
         verdict.broken += 1
-        if len(verdict.breaches) < MOST_BREACHES:
+        if len(verdict.breaches) < MAX_BREACHES:
             known = set(keys)
-            for row in self.rows:  # a caller's own name of the call joins its tries
+            for row in self.rows:  # the reference connects all tries of a call
                 if row.termination in known and row.reference:
                     known.add(row.reference)
             trace = [row for row in self.rows if row.reference in known or row.termination in known]
@@ -89,135 +114,153 @@
 
     # Rule 1.
 
-    def answers(self) -> tuple[Verdict, Verdict]:
-        once, late = Verdict("1 one final answer"), Verdict("1 before the abandon time")
-        asked: dict[tuple[str, str], Row] = {}
+    def check_answers(self) -> tuple[Verdict, Verdict]:
+        """Rule 1: each call gets exactly one final answer, and before its abandon time."""
+        answer_verdict, time_verdict = Verdict("1 one final answer"), Verdict("1 before the abandon time")
+        set_ups: dict[tuple[str, str], Row] = {}
         answered: dict[tuple[str, str], list[Row]] = defaultdict(list)
-        ended: dict[tuple[str, str], int] = {}
+        released_at: dict[tuple[str, str], int] = {}
         repeats: dict[tuple[str, str], int] = defaultdict(int)
         excused: set[tuple[str, str]] = set()
-        lost_at: dict[tuple[str, str], list[int]] = defaultdict(list)
+        connections_lost: dict[tuple[str, str], list[int]] = defaultdict(list)
         for row in self.rows:
             key = (row.place, row.termination)
             if row.kind == "asked":
-                asked[key] = row
+                set_ups[key] = row
             elif row.kind == "answered":
                 answered[key].append(row)
             elif row.kind == "repeated":
                 repeats[key] += 1
             elif row.kind == "confirmed":
-                ended.setdefault(key, row.at)
+                released_at.setdefault(key, row.at)
             elif row.kind == "dropped" or (
-                row.kind == "subtracted" and key in asked and row.at < asked[key].value
+                row.kind == "subtracted" and key in set_ups and row.at < set_ups[key].value
             ):
-                excused.add(key)  # gone before its time; one answer may cross that, a second may not
+                excused.add(key)  # released before its abandon time; one answer may cross it, a second not
             elif row.kind == "lost":
-                lost_at[row.place, row.agent].append(row.at)
-        least, latest = 1 << 62, self.rows[-1].at if self.rows else 0
-        for key, row in asked.items():
+                connections_lost[row.place, row.agent].append(row.at)
+        min_margin, latest = 1 << 62, self.rows[-1].at if self.rows else 0
+        for key, row in set_ups.items():
             answers = answered.get(key, [])
-            once.examined += 1
-            name = f"{key[0]} {key[1]} ({row.reference})"
+            answer_verdict.examined += 1
+            call_name = f"{key[0]} {key[1]} ({row.reference})"
             if len(answers) > 1 + repeats[key]:
-                self.breach(once, f"{name}: {len(answers)} final answers", key[1], row.reference)
+                self.add_breach(
+                    answer_verdict, f"{call_name}: {len(answers)} final answers", key[1], row.reference
+                )
             elif not answers and key not in excused and row.value <= latest:
-                lost = lost_at.get((row.place, row.agent), [])
-                place = bisect_left(lost, row.at)
-                if place < len(lost) and lost[place] <= row.value:
-                    continue  # a transit call whose connection was lost before its answer
-                self.breach(once, f"{name}: no final answer", key[1], row.reference)
+                lost_times = connections_lost.get((row.place, row.agent), [])
+                index = bisect_left(lost_times, row.at)
+                if index < len(lost_times) and lost_times[index] <= row.value:
+                    continue  # a transit call, and its connection was lost before the answer
+                self.add_breach(answer_verdict, f"{call_name}: no final answer", key[1], row.reference)
             for answer in answers[:1]:
                 if answer.text == "unsure":
-                    late.not_judged += 1
+                    time_verdict.not_judged += 1
                     continue
-                late.examined += 1
-                left = row.value - answer.at
-                least = min(least, left)
-                if left < -self.limits.answer_slack:
-                    self.breach(
-                        late,
-                        f"{name}: answered {-left / MS:.1f} ms after its abandon time",
+                time_verdict.examined += 1
+                margin = row.value - answer.at
+                min_margin = min(min_margin, margin)
+                if margin < -self.limits.answer_slack:
+                    self.add_breach(
+                        time_verdict,
+                        f"{call_name}: answered {-margin / MS:.1f} ms after its abandon time",
                         key[1],
                         row.reference,
                     )
-                if key in ended and answer.at > ended[key]:
-                    self.breach(once, f"{name}: answered after it had been released", key[1], row.reference)
-        if late.examined:
-            late.nearest = f"{least / MS:.0f} ms before it"
-        once.nearest = f"{max((len(rows) for rows in answered.values()), default=0)} answers at most"
-        return once, late
+                if key in released_at and answer.at > released_at[key]:
+                    self.add_breach(
+                        answer_verdict,
+                        f"{call_name}: answered after it had been released",
+                        key[1],
+                        row.reference,
+                    )
+        if time_verdict.examined:
+            time_verdict.nearest = f"{min_margin / MS:.0f} ms before it"
+        answer_verdict.nearest = (
+            f"{max((len(rows) for rows in answered.values()), default=0)} answers at most"
+        )
+        return answer_verdict, time_verdict
 
     # Route tries.
 
-    def tries(self) -> list[Try]:
-        out: list[Try] = []
-        running: dict[tuple[str, str], Try] = {}  # place and termination
+    def route_tries(self) -> list[RouteTry]:
+        """All route tries of the record, in order of their set-ups."""
+        tries: list[RouteTry] = []
+        running: dict[tuple[str, str], RouteTry] = {}  # by place and termination
         for row in self.rows:
             key = (row.place, row.termination)
             if row.kind == "add":
-                one = Try(
+                route_try = RouteTry(
                     row.agent, row.reference, row.termination, row.place, row.at, unsure=row.text == "unsure"
                 )
-                out.append(one)
-                running[key] = one
+                tries.append(route_try)
+                running[key] = route_try
             elif row.kind == "replied" and row.code == 0:
-                pass  # it stands, and its answer may yet be lost on the way: only its release ends it
+                pass  # established, but the answer may be lost on the way: only a release ends the try
             elif row.kind in ("replied", "freed", "cut") and key in running:
-                one = running.pop(key)
-                one.ended_at, one.cut_off = row.at, row.kind == "freed"
+                route_try = running.pop(key)
+                route_try.ended_at, route_try.cut_off = row.at, row.kind == "freed"
             elif row.kind in ("lost", "killed"):
-                for other, one in list(running.items()):
-                    if one.agent == row.agent and (row.kind == "killed" or one.place == row.place):
-                        one.ended_at, one.cut_off = row.at, True
+                for other, route_try in list(running.items()):
+                    if route_try.agent == row.agent and (
+                        row.kind == "killed" or route_try.place == row.place
+                    ):
+                        route_try.ended_at, route_try.cut_off = row.at, True
                         del running[other]
-        return out
+        return tries
 
-    def _by_call(self, tries: list[Try], verdict: Verdict) -> list[list[Try]]:
-        calls: dict[tuple[str, str], list[Try]] = defaultdict(list)
-        for one in tries:
-            if one.unsure:
+    def _tries_by_call(self, tries: list[RouteTry], verdict: Verdict) -> list[list[RouteTry]]:
+        """The reliable tries, grouped by call; the others are counted as not judged."""
+        calls: dict[tuple[str, str], list[RouteTry]] = defaultdict(list)
+        for route_try in tries:
+            if route_try.unsure:
                 verdict.not_judged += 1
             else:
-                calls[one.agent, one.reference].append(one)
+                calls[route_try.agent, route_try.reference].append(route_try)
         return list(calls.values())
 
-    def two_tries(self, tries: list[Try]) -> Verdict:
+    def check_concurrent_tries(self, tries: list[RouteTry]) -> Verdict:
+        """Rule 2: a call never has two route tries at a time."""
         verdict = Verdict("2 never two route tries out")
         nearest = 1 << 62
-        for call in self._by_call(tries, verdict):
+        for call in self._tries_by_call(tries, verdict):
             verdict.examined += 1
-            for one, following in zip(call, call[1:], strict=False):
-                gap = following.at - one.ended_at
+            for previous, following in zip(call, call[1:], strict=False):
+                gap = following.at - previous.ended_at
                 nearest = min(nearest, gap)
                 if gap < -self.limits.slack:
-                    why = "though it stands" if one.ended_at == 1 << 62 else f"{-gap / MS:.1f} ms too soon"
-                    self.breach(
+                    detail = (
+                        "though it stands" if previous.ended_at == 1 << 62 else f"{-gap / MS:.1f} ms too soon"
+                    )
+                    self.add_breach(
                         verdict,
-                        f"{one.agent} {one.reference}: a second route try at {following.place} "
-                        f"with one at {one.place} out, {why}",
-                        one.reference,
-                        one.termination,
+                        f"{previous.agent} {previous.reference}: a second route try at {following.place} "
+                        f"with one at {previous.place} out, {detail}",
+                        previous.reference,
+                        previous.termination,
                     )
         if nearest < 1 << 61:
             verdict.nearest = f"{nearest / MS:.1f} ms between two"
         return verdict
 
-    def releases(self, tries: list[Try]) -> Verdict:
+    def check_release_times(self, tries: list[RouteTry]) -> Verdict:
+        """Rule 5: after a try that was cut off, the next one waits for the release time."""
         verdict = Verdict("5 release time")
         nearest = 1 << 62
-        for call in self._by_call(tries, verdict):
-            for one, following in zip(call, call[1:], strict=False):
-                if one.cut_off:
+        for call in self._tries_by_call(tries, verdict):
+            for previous, following in zip(call, call[1:], strict=False):
+                if previous.cut_off:
                     verdict.examined += 1
-                    gap = following.at - one.ended_at
+                    gap = following.at - previous.ended_at
                     nearest = min(nearest, gap)
                     if gap < self.limits.release_time - self.limits.slack:
-                        self.breach(
+                        self.add_breach(
                             verdict,
-                            f"{one.agent} {one.reference}: sent to {following.place} "
-                            f"{gap / MS:.1f} ms after its try at {one.place} was cut off",
-                            one.reference,
-                            one.termination,
+                            f"{previous.agent} {previous.reference}: sent to {following.place} "
+                            f"{gap / MS:.1f} ms after its try at {previous.place} was cut off",
+                            previous.reference,
+                            previous.termination,
                         )
         verdict.must_examine = False
         if nearest < 1 << 61:
@@ -226,73 +269,79 @@
 
     # Rules 3 and 4.
 
-    def drains(self) -> Verdict:
+    def check_drains(self) -> Verdict:
+        """Rule 3: an exchange that drains or is gone gets no set-ups after the drain grace."""
         verdict = Verdict("3 nothing to a leaving exchange")
-        leaving: dict[tuple[str, str], int] = {}
+        leaving_since: dict[tuple[str, str], int] = {}
         grace = self.limits.drain_grace
         latest = -1
-        told = 0
+        notifications = 0
         for row in self.rows:
             if row.kind == "told":
                 exchange, _, state = row.text.partition(" ")
                 if state == "started":
-                    pass  # the exchange itself says how long it has run, not whether it leaves
+                    pass  # from the exchange itself: how long it has run, not whether it drains
                 elif state == "ready":
-                    leaving.pop((row.agent, exchange), None)
+                    leaving_since.pop((row.agent, exchange), None)
                 else:
-                    told += 1
-                    leaving.setdefault((row.agent, exchange), row.at)
+                    notifications += 1
+                    leaving_since.setdefault((row.agent, exchange), row.at)
             elif row.kind == "killed":
-                for key in [one for one in leaving if one[0] == row.agent]:
-                    del leaving[key]
+                for key in [key for key in leaving_since if key[0] == row.agent]:
+                    del leaving_since[key]
             elif row.kind == "add":
                 verdict.examined += 1
-                since = leaving.get((row.agent, row.place))
+                since = leaving_since.get((row.agent, row.place))
                 if since is not None and row.text != "unsure":
                     latest = max(latest, row.at - since)
                     if row.at - since > grace + self.limits.slack:
-                        self.breach(
+                        self.add_breach(
                             verdict,
                             f"{row.agent}: set-up at {row.place} {(row.at - since) / MS:.1f} ms "
                             "after it was told that it leaves",
                             row.reference,
                             row.termination,
                         )
-        verdict.nearest = f"{told} told, " + (
+        verdict.nearest = f"{notifications} told, " + (
             f"last set-up {latest / MS:.1f} ms after" if latest >= 0 else "no set-up after"
         )
         return verdict
 
-    def cold(self) -> Verdict:
-        """An exchange that falls over breaks the rule where two thirds of what reached it in that window came
-        from agents that had been told of its start; the others could not know."""
+    def check_cold_starts(self) -> Verdict:
+        """Rule 4: no cold exchange is made to fail by agents that knew of its start.
+
+        The rule is broken where two thirds of the set-ups in the window before the failure came from agents
+        that had been notified of the start; other agents could not know.
+        """
         verdict = Verdict("4 no cold exchange pushed over")
-        worst = falls = 0
-        told: dict[tuple[str, str], int] = {}
+        peak_load = failures = 0
+        notified: dict[tuple[str, str], int] = {}
         for row in self.rows:
             if row.kind == "told" and not row.text.endswith(("draining", "gone")):
-                told[row.agent, row.text.partition(" ")[0]] = row.at
+                notified[row.agent, row.text.partition(" ")[0]] = row.at
             elif row.kind == "killed":
-                for key in [one for one in told if one[0] == row.agent]:
-                    del told[key]
+                for key in [key for key in notified if key[0] == row.agent]:
+                    del notified[key]
             elif row.kind == "fell":
-                falls += 1
+                failures += 1
                 senders = row.text.split()
-                knew = 0
+                aware = 0
                 for sender in senders:
                     name, _, sent_at = sender.partition("@")
-                    knew += row.value <= told.get((name, row.place), -1) <= int(sent_at)
-                if knew * 3 >= len(senders) * 2:
-                    self.breach(
+                    aware += row.value <= notified.get((name, row.place), -1) <= int(sent_at)
+                if aware * 3 >= len(senders) * 2:
+                    self.add_breach(
                         verdict,
-                        f"{row.place} fell over: {knew} of {len(senders)} set-ups in the window were from "
+                        f"{row.place} fell over: {aware} of {len(senders)} set-ups in the window were from "
                         "agents that had been told",
                         row.place,
                     )
             elif row.kind == "pressure":
                 verdict.examined += row.value
-                worst = max(worst, row.code)
+                peak_load = max(peak_load, row.code)
         verdict.must_examine = any(row.kind == "pressure" for row in self.rows)
         if verdict.examined:
-            verdict.nearest = f"{worst / 10:.1f}% of the limit" + (f", {falls} fell" if falls else "")
+            verdict.nearest = f"{peak_load / 10:.1f}% of the limit" + (
+                f", {failures} fell" if failures else ""
+            )
         return verdict
--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -1,4 +1,4 @@
-"""Plays a script: starts everything, offers calls, makes trouble, lets it end, judges."""
+"""Runs a script: starts agents and surroundings, offers calls, causes the troubles, checks the result."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram
 
 from peattrestle.agent.agent import CallAgent
-from peattrestle.rehearsal.hosts import Make, ProcessHosts, VirtualHosts
+from peattrestle.rehearsal.hosts import AgentFactory, ProcessHosts, VirtualHosts
 from peattrestle.rehearsal.judge import Judge, Limits, Verdict
 from peattrestle.rehearsal.script import Script
 from peattrestle.rehearsal.series import Sampler, Series
@@ -27,11 +27,13 @@
 
 
 class CouldNotRun(Exception):
-    """Agents or stand-ins did not come up; nothing was judged."""
+    """The agents did not start; nothing was judged."""
 
 
 @dataclass(slots=True)
 class Check:
+    """A requirement of the script beside the rules; `text` tells what was found."""
+
     name: str
     text: str
     passed: bool
@@ -39,6 +41,14 @@
 
 @dataclass(slots=True)
 class Result:
+    """The result of a rehearsal, as written to `report.json`, but for the rows.
+
+    `service`: revenue earned over revenue offered. `calls`: attempts sent by callers. `sales`: calls that
+    callers wanted. `delays`: percentiles of the set-up delay in milliseconds. `callers`, `agents`: sums of
+    their counts. `troubles`: how often each kind began. `trace`: a digest of the traffic, equal for equal
+    runs.
+    """
+
     title: str
     kernel: str
     seed: int
@@ -58,18 +68,23 @@
 
     @property
     def passed(self) -> bool:
-        return all(one.passed for one in self.verdicts) and all(one.passed for one in self.checks)
+        """Whether all rules and checks hold."""
+        return all(verdict.passed for verdict in self.verdicts) and all(check.passed for check in self.checks)
 
 
 class Player:
-    """One playing of a script. `make` builds the agents on the virtual kernel."""
+    """One run of a script on the kernel named 'virtual' or 'epoll'.
+
+    `folder`: for the files of agents that run as processes, needed with 'epoll'. `agent_factory`: builds an
+    agent on the virtual kernel. `say`: receives progress messages.
+    """
 
     def __init__(
         self,
         script: Script,
         kernel: str,
         folder: Path | None = None,
-        make: Make = CallAgent,
+        agent_factory: AgentFactory = CallAgent,
         say: Callable[[str], None] = lambda text: None,
     ) -> None:
         self.script, self.say = script, say
@@ -78,10 +93,10 @@
         self.world = World(self.kernel, script)
         self.hosts: VirtualHosts | ProcessHosts
         if isinstance(self.kernel, VirtualKernel):
-            self.hosts = VirtualHosts(self.kernel, self.world, make)
+            self.hosts = VirtualHosts(self.kernel, self.world, agent_factory)
         else:
             if folder is None:
-                raise ValueError("agents in processes need a folder")
+                raise ValueError(f"kernel {kernel!r} runs agents as processes, which need a folder")
             self.hosts = ProcessHosts(self.world, folder)
         self.troubles = Troubles(self.world, self.hosts)
         self.agents: dict[int, dict[str, int]] = {}
@@ -91,35 +106,36 @@
         self.started = 0
 
     def play(self) -> Result:
-        """Raises CouldNotRun."""
+        """Runs the script and returns its result. Raises CouldNotRun."""
         try:
-            self.kernel.spawn(self.day(), "day")
+            self.kernel.spawn(self.run_script(), "day")
             self.kernel.run()
             if self.failure:
                 raise CouldNotRun(self.failure)
-            return self.result()
+            return self.build_result()
         finally:
             self.hosts.stop()
             if isinstance(self.kernel, EpollKernel):
                 self.kernel.close()
 
-    def day(self) -> Coroutine[None]:
+    def run_script(self) -> Coroutine[None]:
+        """The course of a rehearsal: start, calls and troubles, the remaining calls, the end."""
         world, script, kernel = self.world, self.script, self.kernel
         for number in range(script.fleet.exchanges):
             self.hosts.start(number)
         for number in range(script.fleet.exchanges):
             world.add_gateways(number, self.hosts.address(number))
-        until = kernel.now() + 60 * SECOND
+        deadline = kernel.now() + 60 * SECOND
         while not all(gateway.ready for gateway in world.gateways):
             yield from kernel.sleep(20 * MS)
-            if kernel.now() > until or isinstance(self.hosts, ProcessHosts) and self.hosts.died():
-                self.failure = "not all agents came up"
+            if kernel.now() > deadline or isinstance(self.hosts, ProcessHosts) and self.hosts.exited():
+                self.failure = "not all agents were ready within 60 s"
                 kernel.stop()
                 return
-        yield from kernel.sleep(500 * MS)  # groups are told once the links are up
+        yield from kernel.sleep(500 * MS)  # trunk groups are reported once the agents are connected
         started = self.started = kernel.now()
         kernel.spawn(self.sampler.run(), "sampler")
-        self.say(f"{script.fleet.exchanges} agents up")
+        self.say(f"{script.fleet.exchanges} agents ready")
         for step in script.load:
             kernel.at(started + step.at, lambda step=step: self.set_level(step.level))  # type: ignore[misc]
         world.set_rates()
@@ -133,12 +149,12 @@
                 break
         for task in arrivals:
             task.cancel()
-        self.say("calls have been offered; letting them end")
-        latest = max((one.at + one.length for one in script.trouble), default=0) + started
-        until = max(kernel.now(), latest) + 30 * SECOND
-        while kernel.now() < until and (
-            kernel.now() < latest
-            or any(gateway.open_attempts() or self.pending(gateway) for gateway in world.gateways)
+        self.say("all calls offered; waiting for them to end")
+        troubles_end = max((trouble.at + trouble.length for trouble in script.trouble), default=0) + started
+        deadline = max(kernel.now(), troubles_end) + 30 * SECOND
+        while kernel.now() < deadline and (
+            kernel.now() < troubles_end
+            or any(gateway.open_attempts() or self.may_redial(gateway) for gateway in world.gateways)
         ):
             yield from kernel.sleep(100 * MS)
         for gateway in world.gateways:
@@ -146,33 +162,35 @@
             for attempt in list(gateway.attempts.values()):
                 gateway.abandon(attempt)
                 gateway.hang_up(attempt)
-        yield from kernel.sleep(5 * SECOND)  # releases are confirmed or sent again within this
-        world.note_pressure()
+        yield from kernel.sleep(5 * SECOND)  # time for releases to be confirmed or repeated
+        world.record_cold_load()
         self.leaks = world.fabric.leaks() + sum(
             1 for exchange in world.fabric.exchanges.values() for _ in exchange.circuits_in_use()
         )
         self.agents = self.hosts.counts()
         kernel.stop()
 
-    def pending(self, gateway: Any) -> bool:
-        """Whether some caller may yet dial again."""
-        longest = max(one.abandon_time for one in self.script.bearer)
+    def may_redial(self, gateway: Any) -> bool:
+        """Whether a caller of the gateway may still redial."""
+        abandon_time = max(bearer.abandon_time for bearer in self.script.bearer)
         last = gateway.calls[-1].first_at if gateway.calls else 0
-        return bool(self.kernel.now() < last + longest)
+        return bool(self.kernel.now() < last + abandon_time)
 
     def set_level(self, level: float) -> None:
+        """Sets the load, as a multiple of the plan."""
         self.world.level = level
         self.world.set_rates()
 
-    # Judging.
+    # Verdicts and checks.
 
-    def result(self) -> Result:
+    def build_result(self) -> Result:
+        """Checks the rules and the requirements, and puts the result together."""
         world, rules = self.world, self.script.rules
         rows = world.record.rows
         verdicts = Judge(rows, Limits(rules.release_time, rules.drain_grace)).judge()
-        earned = service(world.gateways)
+        total = service(world.gateways)
         delays = HdrHistogram(1, 60_000_000, 3)
-        for delay in earned.delays:
+        for delay in total.delays:
             delays.record_value(min(60_000_000, max(1, delay // 1000)))
         callers: dict[str, int] = {}
         for gateway in world.gateways:
@@ -182,7 +200,7 @@
         for counts in self.agents.values():
             for name, value in counts.items():
                 agents[name] = agents.get(name, 0) + value
-        share = earned.earned / earned.offered if earned.offered else 0.0
+        share = total.earned / total.offered if total.offered else 0.0
         seconds = self.script.length // SECOND
         series = self.sampler.series(world.gateways, self.started, seconds)
         digest = hashlib.sha256()
@@ -193,27 +211,28 @@
             type(self.kernel).__name__,
             self.script.seed,
             verdicts,
-            self.checks(share, agents) + self.storm_checks(series, agents),
+            self.build_checks(share, agents) + self.build_storm_checks(series, agents),
             share,
-            earned.offered,
+            total.offered,
             callers.get("asked", 0),
-            sum(len(one.calls) for one in world.gateways),
-            {f"p{name}": delays.get_value_at_percentile(name) / 1000 for name in (50, 90, 99)}
-            if earned.delays
+            sum(len(gateway.calls) for gateway in world.gateways),
+            {f"p{percent}": delays.get_value_at_percentile(percent) / 1000 for percent in (50, 90, 99)}
+            if total.delays
             else {},
             callers,
             agents,
-            self.troubles.played,
+            self.troubles.begun,
             digest.hexdigest(),
             rows,
             series,
         )
 
-    def checks(self, share: float, agents: dict[str, int]) -> list[Check]:
-        must, checks = self.script.must, []
-        if must.counts_equal:
-            checks.append(self.equal_counts())
-        if must.no_leaks:
+    def build_checks(self, share: float, agents: dict[str, int]) -> list[Check]:
+        """The checks of a script's requirements but those on storms; `share`: revenue earned over offered."""
+        requirements, checks = self.script.must, []
+        if requirements.counts_equal:
+            checks.append(self.check_counts_equal())
+        if requirements.no_leaks:
             checks.append(Check("no circuit leaked", f"{self.leaks} taken at the end", self.leaks == 0))
         faults = agents.get("guard_refusals", 0) + agents.get("overdue", 0)
         checks.append(
@@ -223,60 +242,67 @@
         first = f": {crashes[0][0]}: {crashes[0][1]!r}" if crashes else ""
         checks.append(Check("no coroutine raised", f"{len(crashes)}{first}", not crashes))
         checks.append(
-            Check("service", f"{share:.3f}, at least {must.service_least:.3f}", share >= must.service_least)
+            Check(
+                "service",
+                f"{share:.3f}, at least {requirements.service_least:.3f}",
+                share >= requirements.service_least,
+            )
         )
         return checks
 
-    def storm_checks(self, series: Series, agents: dict[str, int]) -> list[Check]:
-        must, checks, troubles = self.script.must, [], self.script.trouble
-        if must.back_to and troubles:
-            first = min(one.at for one in troubles) // SECOND
-            healed = -(-max(one.at + one.length for one in troubles) // SECOND)
-            before = series.over(max(0, first - 10), first)
-            after = series.back_after(before, must.back_to, healed, 5)
-            text = f"{after} s after the last trouble" if after >= 0 else "not at all"
+    def build_storm_checks(self, series: Series, agents: dict[str, int]) -> list[Check]:
+        """The checks on recovery, on storms detected by agents and on the load of exchanges."""
+        requirements, checks, troubles = self.script.must, [], self.script.trouble
+        if requirements.back_to and troubles:
+            first = min(trouble.at for trouble in troubles) // SECOND
+            ended = -(-max(trouble.at + trouble.length for trouble in troubles) // SECOND)
+            service_before = series.over(max(0, first - 10), first)
+            recovery = series.back_after(service_before, requirements.back_to, ended, 5)
+            text = f"{recovery} s after the last trouble" if recovery >= 0 else "not at all"
             checks.append(
                 Check(
-                    f"back to {must.back_to:.0%}",
-                    f"{text}, of {before:.3f} before; at most {must.back_within // SECOND} s",
-                    0 <= after <= must.back_within // SECOND,
+                    f"back to {requirements.back_to:.0%}",
+                    f"{text}, of {service_before:.3f} before; at most {requirements.back_within // SECOND} s",
+                    0 <= recovery <= requirements.back_within // SECOND,
                 )
             )
-        for kind in must.storms:
-            seen = agents.get(f"storms_{kind}", 0)
-            checks.append(Check(f"{kind} storm seen", f"{seen} times, by all agents", seen > 0))
-        for kind in must.no_storms:
-            seen = agents.get(f"storms_{kind}", 0)
-            checks.append(Check(f"no {kind} storm seen", f"{seen} times, by all agents", seen == 0))
-        if must.pressed_most:
-            most = max(series.pressed, default=0.0)
-            text = f"{most:.2f} of what it can set up in a second"
-            checks.append(Check("worst exchange", text, most <= must.pressed_most))
+        for kind in requirements.storms:
+            count = agents.get(f"storms_{kind}", 0)
+            checks.append(Check(f"{kind} storm seen", f"{count} times, by all agents", count > 0))
+        for kind in requirements.no_storms:
+            count = agents.get(f"storms_{kind}", 0)
+            checks.append(Check(f"no {kind} storm seen", f"{count} times, by all agents", count == 0))
+        if requirements.pressed_most:
+            peak = max(series.pressed, default=0.0)
+            text = f"{peak:.2f} of what it can set up in a second"
+            checks.append(Check("worst exchange", text, peak <= requirements.pressed_most))
         return checks
 
-    def equal_counts(self) -> Check:
-        """Callers' own counts against their agent's, for each agent that was never killed."""
+    def check_counts_equal(self) -> Check:
+        """Compares the callers' counts with their agent's, for agents that were never killed."""
         compared, different = 0, []
-        own: dict[int, dict[str, int]] = {}
+        caller_counts: dict[int, dict[str, int]] = {}
         for gateway in self.world.gateways:
-            sums = own.setdefault(gateway.number, {})
+            sums = caller_counts.setdefault(gateway.number, {})
             for name, value in gateway.counts.items():
                 sums[name] = sums.get(name, 0) + value
-        for number, sums in own.items():
+        for number, sums in caller_counts.items():
             counts = self.agents.get(number)
             if counts is None or number in self.hosts.killed or sums.get("dropped", 0):
                 continue
             compared += 1
-            for ours, theirs in (
+            for caller_key, agent_key in (
                 ("asked", "taken"),
                 ("stood", "stood"),
                 ("refused", "refused"),
                 ("failed", "failed"),
                 ("left", "left"),
             ):
-                if sums.get(ours, 0) != counts.get(theirs, 0):
-                    different.append(f"a{number} {ours} {sums.get(ours, 0)} / {counts.get(theirs, 0)}")
-        text = f"{compared} of {len(own)} agents compared"
+                if sums.get(caller_key, 0) != counts.get(agent_key, 0):
+                    different.append(
+                        f"a{number} {caller_key} {sums.get(caller_key, 0)} / {counts.get(agent_key, 0)}"
+                    )
+        text = f"{compared} of {len(caller_counts)} agents compared"
         return Check(
             "counts equal",
             text + (": " + ", ".join(different[:5]) if different else ""),
@@ -288,11 +314,11 @@
     script: Script,
     kernel: str,
     folder: Path | None = None,
-    make: Make = CallAgent,
+    agent_factory: AgentFactory = CallAgent,
     say: Callable[[str], None] = lambda text: None,
     seed: int | None = None,
 ) -> Result:
-    """Raises CouldNotRun."""
+    """Plays a script, with another seed where `seed` is given; see `Player`. Raises CouldNotRun."""
     if seed is not None:
         script = replace(script, seed=seed)
-    return Player(script, kernel, folder, make, say).play()
+    return Player(script, kernel, folder, agent_factory, say).play()
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -1,4 +1,4 @@
-"""Troubles: what each kind does to the world when it begins and when it ends."""
+"""The troubles of a script: what each kind does to the simulated surroundings when it begins and ends."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Hosts(Protocol):
-    """Where the agents run."""
+    """Starts and kills the agents."""
 
     def kill(self, number: int) -> None: ...
     def start(self, number: int) -> None: ...
@@ -23,301 +23,335 @@
 
 
 class Troubles:
+    """Schedules the troubles of a script.
+
+    Each kind has a method `begin_<kind>`, which starts the trouble and returns what ends it, or None.
+    """
+
     def __init__(self, world: World, hosts: Hosts) -> None:
         self.world, self.hosts = world, hosts
         self.kernel = world.kernel
         self.draw = world.kernel.chance("troubles")
-        self.played: dict[str, int] = {}
+        self.begun: dict[str, int] = {}
 
     def schedule(self, troubles: tuple[Trouble, ...], started: int) -> None:
-        for one in troubles:
-            self.kernel.at(started + one.at, lambda one=one: self.begin(one))  # type: ignore[misc]
-
-    def who(self, one: Trouble) -> list[int]:
-        if one.who:
-            return list(one.who)
+        """Schedules `troubles`, whose times count from `started`."""
+        for trouble in troubles:
+            self.kernel.at(started + trouble.at, lambda trouble=trouble: self.begin(trouble))  # type: ignore[misc]
+
+    def exchange_numbers(self, trouble: Trouble) -> list[int]:
+        """The numbers of the exchanges concerned: those named, or a random share of all."""
+        if trouble.who:
+            return list(trouble.who)
         count = self.world.script.fleet.exchanges
-        return sorted(self.draw.sample(range(count), max(1, round(one.share * count))))
+        return sorted(self.draw.sample(range(count), max(1, round(trouble.share * count))))
 
-    def begin(self, one: Trouble) -> None:
-        self.played[one.kind] = self.played.get(one.kind, 0) + 1
-        undo = getattr(self, f"do_{one.kind}")(one)
-        if undo is not None:
-            self.kernel.at(self.kernel.now() + one.length, undo)
+    def begin(self, trouble: Trouble) -> None:
+        """Begins a trouble now and schedules its end."""
+        self.begun[trouble.kind] = self.begun.get(trouble.kind, 0) + 1
+        end = getattr(self, f"begin_{trouble.kind}")(trouble)
+        if end is not None:
+            self.kernel.at(self.kernel.now() + trouble.length, end)
 
-    def _exchanges(self, one: Trouble) -> list[StandinExchange]:
-        return [self.world.fabric.exchanges[number] for number in self.who(one)]
+    def _exchanges(self, trouble: Trouble) -> list[StandinExchange]:
+        return [self.world.fabric.exchanges[number] for number in self.exchange_numbers(trouble)]
 
     # Processors.
 
-    def do_silent(self, one: Trouble) -> Callable[[], None]:
-        """Takes set-ups and answers none, then comes back cold; the list learns its new start."""
-        exchanges = self._exchanges(one)
+    def begin_silent(self, trouble: Trouble) -> Callable[[], None]:
+        """Exchanges accept set-ups and answer none, then restart cold; the list reports the restart."""
+        exchanges = self._exchanges(trouble)
         for exchange in exchanges:
             exchange.processor.silent = True
 
-        def back() -> None:
+        def restart() -> None:
             for exchange in exchanges:
                 if not exchange.stopped:
-                    self.world.note_pressure()
+                    self.world.record_cold_load()
                     exchange.restart_cold()
-                    self.world.list.set(exchange, "ready")
+                    self.world.exchange_list.set_state(exchange, "ready")
 
-        return back
+        return restart
 
-    def do_hang(self, one: Trouble) -> Callable[[], None]:
-        exchanges = self._exchanges(one)
+    def begin_hang(self, trouble: Trouble) -> Callable[[], None]:
+        """Exchanges accept work and finish none, then continue with it."""
+        exchanges = self._exchanges(trouble)
         for exchange in exchanges:
             exchange.processor.silent = True
 
-        def undo() -> None:
+        def end() -> None:
             for exchange in exchanges:
                 exchange.processor.resume()
 
-        return undo
+        return end
 
-    def do_slow(self, one: Trouble) -> Callable[[], None]:
-        exchanges, multiple = self._exchanges(one), max(1.0, one.figure)
+    def begin_slow(self, trouble: Trouble) -> Callable[[], None]:
+        """Processors run slower by the factor `figure`."""
+        exchanges, multiple = self._exchanges(trouble), max(1.0, trouble.figure)
         for exchange in exchanges:
             exchange.processor.slowdown *= multiple
 
-        def undo() -> None:
+        def end() -> None:
             for exchange in exchanges:
                 exchange.processor.slowdown /= multiple
 
-        return undo
+        return end
 
-    def do_ageing(self, one: Trouble) -> Callable[[], None]:
-        """Slower and slower, then a crash and a cold return."""
-        exchanges, steps = self._exchanges(one), 10
+    def begin_ageing(self, trouble: Trouble) -> Callable[[], None]:
+        """Processors get slower by 25% in each of 10 steps, then crash and restart cold."""
+        exchanges, steps = self._exchanges(trouble), 10
         for step in range(steps):
 
-            def slower() -> None:
+            def slow_down() -> None:
                 for exchange in exchanges:
                     exchange.processor.slowdown *= 1.25
 
-            self.kernel.at(self.kernel.now() + one.length * step // steps, slower)
+            self.kernel.at(self.kernel.now() + trouble.length * step // steps, slow_down)
 
-        def crash() -> None:
+        def crash_and_restart() -> None:
             for exchange in exchanges:
                 exchange.processor.slowdown = 1.0
                 if not exchange.stopped:
-                    self.world.note_pressure()
+                    self.world.record_cold_load()
                     exchange.restart_cold()
-                    self.world.list.set(exchange, "ready")
+                    self.world.exchange_list.set_state(exchange, "ready")
 
-        return crash
+        return crash_and_restart
 
-    def do_replace(self, one: Trouble) -> Callable[[], None]:
-        """Drained as the list tells, then stopped for good; a new one takes its number, cold."""
-        olds = self._exchanges(one)
-        for old in olds:
-            self.world.list.set(old, "draining")
+    def begin_replace(self, trouble: Trouble) -> Callable[[], None]:
+        """Exchanges are drained, then stopped and replaced by cold ones of the same number."""
+        exchanges = self._exchanges(trouble)
+        for exchange in exchanges:
+            self.world.exchange_list.set_state(exchange, "draining")
 
-        def swap() -> None:
-            for old in olds:
-                if old.stopped:
+        def replace() -> None:
+            for exchange in exchanges:
+                if exchange.stopped:
                     continue
-                self.world.note_pressure()
-                old.stop()
-                self.world.list.set(old, "gone")
-                self.world.add_exchange(old.number, cold=True)
+                self.world.record_cold_load()
+                exchange.stop()
+                self.world.exchange_list.set_state(exchange, "gone")
+                self.world.add_exchange(exchange.number, cold=True)
 
-        return swap
+        return replace
 
-    # Answers, links, regions.
+    # Answers, trunk groups, regions, the exchange list.
 
-    def do_answers_lost(self, one: Trouble) -> Callable[[], None]:
-        self.world.fabric.answers_lost = min(1.0, one.figure)
+    def begin_answers_lost(self, trouble: Trouble) -> Callable[[], None]:
+        """The share `figure` of the answers to set-ups is never sent."""
+        self.world.fabric.answers_lost = min(1.0, trouble.figure)
 
-        def undo() -> None:
+        def end() -> None:
             self.world.fabric.answers_lost = 0.0
 
-        return undo
+        return end
 
-    def do_region_cut(self, one: Trouble) -> Callable[[], None]:
+    def begin_region_cut(self, trouble: Trouble) -> Callable[[], None]:
+        """Exchanges of a region and those of other regions cannot reach each other."""
         fabric, regions = self.world.fabric, self.world.script.fleet.regions
-        region = one.region or self.draw.choice(regions)
+        region = trouble.region or self.draw.choice(regions)
         fabric.cut_regions.add(region)
 
-        def heal() -> None:
+        def end_cut() -> None:
             fabric.cut_regions.discard(region)
             fabric.heal()
 
-        return heal
+        return end_cut
+
+    def begin_circuits_lost(self, trouble: Trouble) -> Callable[[], None]:
+        """Trunk groups between one region and the others keep the share `figure` of their circuits.
 
-    def do_circuits_lost(self, one: Trouble) -> Callable[[], None]:
-        """Groups between one region and the others keep `figure` of their circuits."""
+        Established calls are cut until those left fit.
+        """
         fabric, regions = self.world.fabric, self.world.script.fleet.regions
-        region = one.region or self.draw.choice(regions)
-        hit = [
+        region = trouble.region or self.draw.choice(regions)
+        groups = [
             group
             for group in fabric.groups.values()
             if (fabric.regions[group.ends[0]] == region) != (fabric.regions[group.ends[1]] == region)
         ]
-        for group in hit:
-            group.out_of_service = group.size - round(group.size * min(1.0, one.figure))
-            over = group.taken - group.working()
-            for end in group.ends:
-                exchange = fabric.exchanges[end]
-                for side, held in exchange.established_calls():
-                    if over > 0 and side.number in group.ends and held.has_circuits:
-                        over -= held.request.width
-                        exchange.cut_call(side, held)
+        for group in groups:
+            group.out_of_service = group.size - round(group.size * min(1.0, trouble.figure))
+            excess = group.taken - group.working()
+            for number in group.ends:
+                exchange = fabric.exchanges[number]
+                for peer, call in exchange.established_calls():
+                    if excess > 0 and peer.number in group.ends and call.has_circuits:
+                        excess -= call.request.width
+                        exchange.cut_call(peer, call)
             fabric.schedule_report(group)
 
-        def undo() -> None:
-            for group in hit:
+        def restore() -> None:
+            for group in groups:
                 group.out_of_service = 0
                 fabric.schedule_report(group)
 
-        return undo
+        return restore
 
-    def do_cut_calls(self, one: Trouble) -> None:
+    def begin_cut_calls(self, trouble: Trouble) -> None:
+        """The share `figure` of the established calls is cut."""
         for exchange in list(self.world.fabric.exchanges.values()):
-            for side, held in exchange.established_calls():
-                if self.draw.random() < one.figure:
-                    exchange.cut_call(side, held)
+            for peer, call in exchange.established_calls():
+                if self.draw.random() < trouble.figure:
+                    exchange.cut_call(peer, call)
 
-    def do_list_gone(self, one: Trouble) -> Callable[[], None]:
-        self.world.list.vanish()
-        return self.world.list.come_back
+    def begin_list_gone(self, trouble: Trouble) -> Callable[[], None]:
+        """The exchange list cannot be reached."""
+        self.world.exchange_list.go_down()
+        return self.world.exchange_list.recover
 
     # Agents.
 
-    def do_kill_agent(self, one: Trouble) -> Callable[[], None]:
-        numbers = self.who(one)
+    def begin_kill_agent(self, trouble: Trouble) -> Callable[[], None]:
+        """Agents are killed, and started again at the end."""
+        numbers = self.exchange_numbers(trouble)
         for number in numbers:
             self.world.record.add(self.kernel.now(), "killed", "host", f"a{number}")
             self.hosts.kill(number)
 
-        def undo() -> None:
+        def end() -> None:
             for number in numbers:
                 self.hosts.start(number)
 
-        return undo
+        return end
 
     # Callers.
 
-    def do_surge(self, one: Trouble) -> Callable[[], None]:
-        key = f"{one.label}/{self.kernel.now()}"
-        who = set(one.who or range(self.world.script.fleet.exchanges))
-        self.world.surges[key] = (who, max(0.0, one.figure))
+    def begin_surge(self, trouble: Trouble) -> Callable[[], None]:
+        """Callers at some exchanges, or all, make `figure` times as many calls."""
+        key = f"{trouble.label}/{self.kernel.now()}"
+        numbers = set(trouble.who or range(self.world.script.fleet.exchanges))
+        self.world.surges[key] = (numbers, max(0.0, trouble.figure))
         self.world.set_rates()
 
-        def undo() -> None:
+        def end() -> None:
             del self.world.surges[key]
             self.world.set_rates()
 
-        return undo
+        return end
 
-    def do_hot_number(self, one: Trouble) -> Callable[[], None]:
-        destination = self.who(one)[0]
+    def begin_hot_number(self, trouble: Trouble) -> Callable[[], None]:
+        """The share `figure` of all calls goes to one number, which has 3 lines."""
+        destination = self.exchange_numbers(trouble)[0]
         number = f"hot.{destination}"
         self.world.fabric.line_limits[number] = 3
         for gateway in self.world.gateways:
-            gateway.traffic.hot_number = (number, destination, min(1.0, one.figure))
+            gateway.traffic.hot_number = (number, destination, min(1.0, trouble.figure))
 
-        def undo() -> None:
+        def end() -> None:
             for gateway in self.world.gateways:
                 gateway.traffic.hot_number = None
 
-        return undo
+        return end
 
-    def do_early_leavers(self, one: Trouble) -> Callable[[], None]:
-        self.world.habits.leaves_early = min(1.0, one.figure)
+    def begin_early_leavers(self, trouble: Trouble) -> Callable[[], None]:
+        """The share `figure` of the callers gives up early."""
+        self.world.habits.leaves_early = min(1.0, trouble.figure)
 
-        def undo() -> None:
+        def end() -> None:
             self.world.habits.leaves_early = 0.0
 
-        return undo
+        return end
 
-    def do_repeats(self, one: Trouble) -> Callable[[], None]:
-        self.world.habits.repeats = min(1.0, one.figure)
+    def begin_repeats(self, trouble: Trouble) -> Callable[[], None]:
+        """Gateways send the share `figure` of their requests twice."""
+        self.world.habits.repeats = min(1.0, trouble.figure)
 
-        def undo() -> None:
+        def end() -> None:
             self.world.habits.repeats = 0.0
 
-        return undo
+        return end
 
-    def do_reconnect(self, one: Trouble) -> None:
-        """The gateways of the exchanges concerned lose their connections, all in the same moment."""
-        numbers = set(self.who(one))
+    def begin_reconnect(self, trouble: Trouble) -> None:
+        """All gateways of some exchanges lose their connections at the same moment."""
+        numbers = set(self.exchange_numbers(trouble))
         for gateway in self.world.gateways:
             if gateway.number in numbers:
                 gateway.reset()
 
-    def do_flood(self, one: Trouble) -> Callable[[], None]:
-        """The last gateway of each exchange concerned offers `figure` times its part and heeds no advice."""
-        numbers = set(self.who(one))
-        last = {gateway.number: gateway for gateway in self.world.gateways}
-        floods = [gateway for number, gateway in last.items() if number in numbers]
-        for gateway in floods:
+    def begin_flood(self, trouble: Trouble) -> Callable[[], None]:
+        """The last gateway of some exchanges offers `figure` times its share and ignores all advice."""
+        numbers = set(self.exchange_numbers(trouble))
+        last_gateways = {gateway.number: gateway for gateway in self.world.gateways}
+        gateways = [gateway for number, gateway in last_gateways.items() if number in numbers]
+        for gateway in gateways:
             gateway.is_flooding = gateway.flooded = True
-            gateway.rate_multiple = max(1.0, one.figure)
+            gateway.rate_multiple = max(1.0, trouble.figure)
         self.world.set_rates()
 
-        def undo() -> None:
-            for gateway in floods:
+        def end() -> None:
+            for gateway in gateways:
                 gateway.is_flooding, gateway.rate_multiple = False, 1.0
             self.world.set_rates()
 
-        return undo
+        return end
 
-    def do_gateway_reset(self, one: Trouble) -> None:
-        for number in self.who(one):
-            next(one for one in self.world.gateways if one.number == number).reset()
+    def begin_gateway_reset(self, trouble: Trouble) -> None:
+        """The first gateway of some exchanges loses its connection."""
+        for number in self.exchange_numbers(trouble):
+            next(gateway for gateway in self.world.gateways if gateway.number == number).reset()
 
     # Sockets.
 
-    def _flag(self, one: Trouble, name: str, on: object, off: object) -> Callable[[], None]:
-        exchanges = self._exchanges(one)
+    def _set_socket_fault(
+        self, trouble: Trouble, fault: str, active: object, inactive: object
+    ) -> Callable[[], None]:
+        """Sets a socket fault of the exchanges, by its attribute name."""
+        exchanges = self._exchanges(trouble)
         for exchange in exchanges:
-            setattr(exchange.flags, name, on)
+            setattr(exchange.flags, fault, active)
 
-        def undo() -> None:
+        def end() -> None:
             for exchange in exchanges:
-                setattr(exchange.flags, name, off)
+                setattr(exchange.flags, fault, inactive)
 
-        return undo
+        return end
 
-    def do_resets(self, one: Trouble) -> Callable[[], None]:
-        return self._flag(one, "reset_setups", min(1.0, one.figure), 0.0)
+    def begin_resets(self, trouble: Trouble) -> Callable[[], None]:
+        """The share `figure` of the set-ups resets the connection."""
+        return self._set_socket_fault(trouble, "reset_setups", min(1.0, trouble.figure), 0.0)
 
-    def do_mute(self, one: Trouble) -> Callable[[], None]:
-        return self._flag(one, "mute", True, False)
+    def begin_mute(self, trouble: Trouble) -> Callable[[], None]:
+        """Exchanges send nothing."""
+        return self._set_socket_fault(trouble, "mute", True, False)
 
-    def do_stall(self, one: Trouble) -> Callable[[], None]:
-        return self._flag(one, "stall", True, False)
+    def begin_stall(self, trouble: Trouble) -> Callable[[], None]:
+        """Exchanges read nothing."""
+        return self._set_socket_fault(trouble, "stall", True, False)
 
-    def do_single_bytes(self, one: Trouble) -> Callable[[], None]:
-        return self._flag(one, "single_bytes", True, False)
+    def begin_single_bytes(self, trouble: Trouble) -> Callable[[], None]:
+        """Exchanges write one byte at a time."""
+        return self._set_socket_fault(trouble, "single_bytes", True, False)
 
-    def do_late_replies(self, one: Trouble) -> Callable[[], None]:
-        return self._flag(one, "late_replies", round(max(0.01, one.figure) * SECOND), 0)
+    def begin_late_replies(self, trouble: Trouble) -> Callable[[], None]:
+        """Replies are delayed by `figure` seconds."""
+        return self._set_socket_fault(trouble, "late_replies", round(max(0.01, trouble.figure) * SECOND), 0)
 
-    def do_double_replies(self, one: Trouble) -> Callable[[], None]:
-        return self._flag(one, "double_replies", min(1.0, one.figure), 0.0)
+    def begin_double_replies(self, trouble: Trouble) -> Callable[[], None]:
+        """The share `figure` of the replies is sent twice."""
+        return self._set_socket_fault(trouble, "double_replies", min(1.0, trouble.figure), 0.0)
 
-    def do_garble(self, one: Trouble) -> Callable[[], None]:
-        return self._flag(one, "garble", min(1.0, one.figure), 0.0)
+    def begin_garble(self, trouble: Trouble) -> Callable[[], None]:
+        """One byte is changed in the share `figure` of the messages."""
+        return self._set_socket_fault(trouble, "garble", min(1.0, trouble.figure), 0.0)
 
-    def do_garbage(self, one: Trouble) -> None:
-        """A stranger writes drawn bytes, or half a message, to an agent's callers' port and goes."""
-        for number in self.who(one):
-            self.kernel.spawn(self.stranger(number), "stranger")
+    def begin_garbage(self, trouble: Trouble) -> None:
+        """An unknown client sends random bytes, or half a message, to the callers' port of an agent."""
+        for number in self.exchange_numbers(trouble):
+            self.kernel.spawn(self.send_garbage(number), "stranger")
 
-    def stranger(self, number: int) -> Coroutine[None]:
-        pieces = [
+    def send_garbage(self, number: int) -> Coroutine[None]:
+        """Sends each piece of garbage to agent `number` over a connection of its own."""
+        messages = [
             bytes(self.draw.randrange(256) for _ in range(200)),
             b"\x03\x00\x00\x30MEGACO/1 <s> Tran",
             b"\x03\x00\x00\x15MEGACO/1 <s> T=1{",
             b"\x03\x00\xff\xff",
         ]
-        for piece in pieces:
+        for message in messages:
             try:
                 stream = yield from self.kernel.connect(self.hosts.address(number), SECOND, "stranger")
-                stream.write(piece)
+                stream.write(message)
                 yield from self.kernel.sleep(100 * MS)
                 stream.close()
             except (Lost, Refused):
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -68,10 +68,10 @@
         for number in range(count):
             self.fabric.regions[number] = fleet.regions[number % len(fleet.regions)]
         source = HubRegistry if fleet.registry else ListSource
-        self.list: HubRegistry | ListSource = source(
+        self.exchange_list: HubRegistry | ListSource = source(
             kernel, self.record, "127.0.0.1:0", fleet.list_late_least, fleet.list_late_most
         )
-        self.list.regions = self.fabric.regions
+        self.exchange_list.regions = self.fabric.regions
         self.replaced = 0
         for number in range(count):
             self.add_exchange(number, cold=False)
@@ -120,7 +120,7 @@
         name = f"x{number}" + (f"r{self.replaced}" if cold else "")
         exchange = StandinExchange(self.kernel, self.fabric, name, number, "127.0.0.1:0", f"a{number}", cold)
         self.fabric.exchanges[number] = exchange
-        self.list.set(exchange, "ready")
+        self.exchange_list.set_state(exchange, "ready")
         return exchange
 
     def agent_settings(self, number: int, callers: str, state: str = "") -> settings.Agent:
@@ -141,9 +141,9 @@
             label=f"a{number}",
             number=number,
             callers=callers,
-            list="" if script.fleet.registry else self.list.address,
+            list="" if script.fleet.registry else self.exchange_list.address,
             registry=settings.Registry(
-                endpoints=(self.list.address,) if script.fleet.registry else (), retry_most=SECOND
+                endpoints=(self.exchange_list.address,) if script.fleet.registry else (), retry_most=SECOND
             ),
             state=state,
             agents=script.fleet.exchanges,
@@ -170,9 +170,9 @@
             fleet = self.script.fleet
             gateway.traffic.rate = fleet.calls_a_second * level * gateway.rate_multiple / fleet.gateways
 
-    def note_pressure(self) -> None:
+    def record_cold_load(self) -> None:
         """The processors' own books on rule 4, for the judge: at the end, before restarts too."""
-        for exchange in [one for one, _ in self.list.exchanges.values()]:
+        for exchange in [one for one, _ in self.exchange_list.exchanges.values()]:
             processor = exchange.processor
             if processor.cold_samples:
                 self.record.add(
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -105,10 +105,7 @@
 
 
 class LeakyBucket:
-    """A leaky bucket for the rate that a notice allows.
-
-    Implemented apart from the agent's own, so that it checks what the agent announces.
-    """
+    """A leaky bucket for the rate that a notice allows; independent of the agent's code, to test it."""
 
     def __init__(self) -> None:
         self.rate, self.valid_until, self.notice_number = 0.0, 0, -1
@@ -271,9 +268,7 @@
             self.redial(attempt.call, 0)
 
     def on_registered(self, agent_run: str) -> None:
-        """Handles the accepted registration; a restarted agent has forgotten the established calls: they are
-        cut.
-        """
+        """Handles the accepted registration; after a restart of the agent the established calls are cut."""
         if self.agent_run and agent_run != self.agent_run:
             for attempt in [attempt for attempt in self.attempts.values() if attempt.state == "stands"]:
                 self.on_call_cut(attempt)
@@ -402,11 +397,11 @@
             self.record.add(self.kernel.now(), "repeated", self.name, self.agent, attempt.termination)
             self.session.send(package.add_text(attempt.transaction_id, request))
 
-    def handle_reply(self, reply: Answered) -> None:
+    def handle_reply(self, event: Answered) -> None:
         """Handles a reply from the agent."""
-        now, context = self.kernel.now(), reply.kept
-        if context == "hello":
-            first_command = package.first_command(reply.reply.actions)
+        now, pending = self.kernel.now(), event.kept
+        if pending == "hello":
+            first_command = package.first_command(event.reply.actions)
             services = first_command[1].find("Services") if first_command else None
             wait = services.find("ptl/wai") if services else None
             if wait is not None and self.session is not None:
@@ -416,24 +411,24 @@
             self.waiting_delay = int(delay.value or 0) if delay else 0
             agent_run = services.find("ptc/run") if services else None
             self.on_registered(agent_run.value or "" if agent_run else "")
-        elif isinstance(context, Attempt):
-            outcome = package.read_outcome(reply.reply)
-            self.record.add(now, "answered", self.name, self.agent, context.termination, code=outcome.code)
+        elif isinstance(pending, Attempt):
+            outcome = package.read_outcome(event.reply)
+            self.record.add(now, "answered", self.name, self.agent, pending.termination, code=outcome.code)
             count_name = {0: "stood", package.REFUSED: "refused"}.get(outcome.code, "failed")
-            if context.state == "left":
+            if pending.state == "left":
                 self.replies_after_abandon += 1  # the answer crossed the caller's release
                 self.count(count_name)
-                context.state = "crossed"
-            elif context.state == "asked":
+                pending.state = "crossed"
+            elif pending.state == "asked":
                 self.count(count_name)
                 if outcome.code == 0:
-                    self.on_established(context)
+                    self.on_established(pending)
                 else:
-                    self.finish(context)
-                    self.redial(context.call, outcome.come_back)
-        elif isinstance(context, str) and context in self.attempts:
-            attempt = self.attempts[context]
-            self.record.add(now, "confirmed", self.name, self.agent, context)
+                    self.finish(pending)
+                    self.redial(pending.call, outcome.come_back)
+        elif isinstance(pending, str) and pending in self.attempts:
+            attempt = self.attempts[pending]
+            self.record.add(now, "confirmed", self.name, self.agent, pending)
             if attempt.state == "left":
                 self.count("left")
             self.finish(attempt)
--- a/peattrestle/standin/hubs.py
+++ b/peattrestle/standin/hubs.py
@@ -26,7 +26,7 @@
         self.address = self.registry.address
         self._last: dict[str, int] = {}
 
-    def set(self, exchange: StandinExchange, state: str) -> None:
+    def set_state(self, exchange: StandinExchange, state: str) -> None:
         known = exchange.name in self.exchanges
         self.exchanges[exchange.name] = (exchange, state)
         if not known:
@@ -58,8 +58,8 @@
         state = "gone" if value is None else json.loads(value)["state"]
         self.record.add(self.kernel.now(), "told", "registry", agent, text=f"{name} {state}")
 
-    def vanish(self) -> None:
+    def go_down(self) -> None:
         self.registry.leave()
 
-    def come_back(self) -> None:
+    def recover(self) -> None:
         self.registry.come_back()
--- a/peattrestle/standin/listing.py
+++ b/peattrestle/standin/listing.py
@@ -71,7 +71,7 @@
             self.record.add(now, "told", "list", name, text=f"{one} {state}")
         stream.write(json.dumps({"form": form, "entries": rows}).encode() + b"\n")
 
-    def set(self, exchange: StandinExchange, state: str) -> None:
+    def set_state(self, exchange: StandinExchange, state: str) -> None:
         """What the list knows from now on; agents are told later, each at its own time."""
         self.exchanges[exchange.name] = (exchange, state)
         for name in list(self.followers):
@@ -84,11 +84,11 @@
 
             self.kernel.at(self.kernel.now() + late, tell)
 
-    def vanish(self) -> None:
+    def go_down(self) -> None:
         """Unreachable: connections end, and new ones are closed at once."""
         self.present = False
         for stream in list(self.followers.values()):
             stream.close()
 
-    def come_back(self) -> None:
+    def recover(self) -> None:
         self.present = True
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -1,4 +1,4 @@
-"""Each rule broken on purpose: the judge must see it, and the guard must stop it where it stands."""
+"""Each rule is broken on purpose by a faulty agent: the judge reports it, and the guard prevents it."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
         pass
 
     Made.fault, Made.guarded = fault, guarded
-    return Player(replace(NIGHT, trouble=troubles, **changes), "virtual", make=Made).play()
+    return Player(replace(NIGHT, trouble=troubles, **changes), "virtual", agent_factory=Made).play()
 
 
 CASES = [
