--- a/peattrestle/rehearsal/judge.py
+++ b/peattrestle/rehearsal/judge.py
@@ -4,7 +4,7 @@
 with the trace of its call. A rule for which nothing was examined has not been judged and counts as failed.
 
 The simulated surroundings see a message later than it was sent; `slack` allows for that. Times at which a
-surrounding part read nothing for a while ('unsure') are no evidence: such tries are counted as not judged.
+simulated exchange read nothing for a while ('unsure') are no evidence: such tries are counted as not judged.
 """
 
 from __future__ import annotations
@@ -231,12 +231,14 @@
                 nearest = min(nearest, gap)
                 if gap < -self.limits.slack:
                     detail = (
-                        "though it stands" if previous.ended_at == 1 << 62 else f"{-gap / MS:.1f} ms too soon"
+                        "which is established"
+                        if previous.ended_at == 1 << 62
+                        else f"{-gap / MS:.1f} ms too soon"
                     )
                     self.add_breach(
                         verdict,
                         f"{previous.agent} {previous.reference}: a second route try at {following.place} "
-                        f"with one at {previous.place} out, {detail}",
+                        f"while the one at {previous.place} is open, {detail}",
                         previous.reference,
                         previous.termination,
                     )
--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -129,7 +129,7 @@
         while not all(gateway.ready for gateway in world.gateways):
             yield from kernel.sleep(20 * MS)
             if kernel.now() > deadline or isinstance(self.hosts, ProcessHosts) and self.hosts.exited():
-                self.failure = "not all agents were ready within 60 s"
+                self.failure = "not all agents became ready"
                 kernel.stop()
                 return
         yield from kernel.sleep(500 * MS)  # trunk groups are reported once the agents are connected
--- a/peattrestle/rehearsal/series.py
+++ b/peattrestle/rehearsal/series.py
@@ -101,7 +101,7 @@
             round(got / wanted, 4) if wanted else -1.0 for got, wanted in zip(earned, offered, strict=True)
         ]
         processor_settings = self.world.fabric.processor_settings
-        of_a_call = (
+        work_per_call = (
             2 * processor_settings.set_up_work
             + processor_settings.answer_work
             + processor_settings.routing_work
@@ -110,5 +110,5 @@
         for second, (wait, pressed, done) in enumerate(self.samples[:seconds]):
             out.wait_ms.append(round(wait, 1))
             out.pressed.append(round(pressed, 3))
-            out.useful.append(round(min(1.0, out.stood[second] * of_a_call / done), 3) if done else 1.0)
+            out.useful.append(round(min(1.0, out.stood[second] * work_per_call / done), 3) if done else 1.0)
         return out
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -1,4 +1,6 @@
-"""The world of a script: exchanges, groups, callers and list as stand-ins, sized to a plan."""
+"""The surroundings of a script's agents, simulated: exchanges, trunk groups, callers and the list, to a
+traffic plan.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,7 @@
 from peattrestle.standin.callers import BearerProfile, Gateway, Habits, Traffic
 from peattrestle.standin.exchange import StandinExchange
 from peattrestle.standin.fabric import Fabric, ProcessorSettings
-from peattrestle.standin.hubs import HubRegistry
+from peattrestle.standin.hubs import RegistryListSource
 from peattrestle.standin.listing import ListSource
 from peattrestle.standin.record import Record
 
@@ -19,31 +21,32 @@
 
 
 class World:
-    """`addresses`: 'any' lets the system choose ports."""
+    """The simulated exchanges, gateways and exchange list of a script."""
 
     def __init__(self, kernel: Kernel, script: Script) -> None:
         self.kernel, self.script = kernel, script
         self.record = Record()
         fleet, rules = script.fleet, script.rules
         count = fleet.exchanges
-        # Work for a call: the originating end sets up and answers, the other looks, sets up, releases.
-        plain = ProcessorSettings()
-        of_a_call = (
-            plain.set_up_work
-            + plain.answer_work
-            + plain.routing_work
-            + plain.set_up_work
-            + plain.release_work
+        # Work of a call: set-up and answer at the originating exchange,
+        # routing, set-up and release at the destination.
+        defaults = ProcessorSettings()
+        work_per_call = (
+            defaults.set_up_work
+            + defaults.answer_work
+            + defaults.routing_work
+            + defaults.set_up_work
+            + defaults.release_work
         )
-        scale = fleet.busy * SECOND / (fleet.calls_a_second * of_a_call)
+        scale = fleet.busy * SECOND / (fleet.calls_a_second * work_per_call)
         self.fabric = Fabric(
             kernel,
             self.record,
             ProcessorSettings(
-                round(plain.routing_work * scale),
-                round(plain.set_up_work * scale),
-                round(plain.answer_work * scale),
-                round(plain.release_work * scale),
+                round(defaults.routing_work * scale),
+                round(defaults.set_up_work * scale),
+                round(defaults.answer_work * scale),
+                round(defaults.release_work * scale),
                 fleet.wait_limit,
                 rules.cold_from,
                 rules.cold_time,
@@ -54,25 +57,25 @@
         )
         self.bearers = [
             BearerProfile(
-                one.label,
-                one.share,
-                one.gos_target,
-                one.abandon_time,
-                one.holding,
-                one.revenue,
-                one.late_revenue,
+                bearer.label,
+                bearer.share,
+                bearer.gos_target,
+                bearer.abandon_time,
+                bearer.holding,
+                bearer.revenue,
+                bearer.late_revenue,
             )
-            for one in script.bearer
+            for bearer in script.bearer
         ]
         self.weights = self._plan(count)
         for number in range(count):
             self.fabric.regions[number] = fleet.regions[number % len(fleet.regions)]
-        source = HubRegistry if fleet.registry else ListSource
-        self.exchange_list: HubRegistry | ListSource = source(
+        source = RegistryListSource if fleet.registry else ListSource
+        self.exchange_list: RegistryListSource | ListSource = source(
             kernel, self.record, "127.0.0.1:0", fleet.list_late_least, fleet.list_late_most
         )
         self.exchange_list.regions = self.fabric.regions
-        self.replaced = 0
+        self.replacements = 0
         for number in range(count):
             self.add_exchange(number, cold=False)
         habits = Habits(
@@ -95,46 +98,55 @@
         self.offered = 0
 
     def _plan(self, count: int) -> list[dict[int, float]]:
-        """Who calls whom, and groups for it: with some spare, none for the thinnest pairs."""
+        """Draws the traffic between exchanges, and adds trunk groups for it.
+
+        Groups have some spare circuits; the pairs with the least traffic have no group.
+        """
         fleet, draw = self.script.fleet, self.kernel.chance("plan")
         weights: list[dict[int, float]] = []
         for number in range(count):
             row = {other: math.exp(draw.gauss(0, 0.6)) for other in range(count) if other != number}
             total = sum(row.values())
             weights.append({other: weight / total for other, weight in row.items()})
-        total_share = sum(one.share for one in self.script.bearer)
-        holding = sum(one.share * one.holding for one in self.script.bearer) / total_share / SECOND
+        total_share = sum(bearer.share for bearer in self.script.bearer)
+        holding = sum(bearer.share * bearer.holding for bearer in self.script.bearer) / total_share / SECOND
         pairs = {
-            (one, other): (weights[one][other] + weights[other][one]) * fleet.calls_a_second * holding
-            for one in range(count)
-            for other in range(one + 1, count)
+            (exchange, other): (weights[exchange][other] + weights[other][exchange])
+            * fleet.calls_a_second
+            * holding
+            for exchange in range(count)
+            for other in range(exchange + 1, count)
         }
-        without = set(sorted(pairs, key=lambda pair: pairs[pair])[: int(fleet.no_group * len(pairs))])
-        for (one, other), erlangs in pairs.items():
-            if (one, other) not in without:
-                self.fabric.add_group(one, other, math.ceil(erlangs * fleet.spare + math.sqrt(erlangs) + 2))
+        unconnected = set(sorted(pairs, key=lambda pair: pairs[pair])[: int(fleet.no_group * len(pairs))])
+        for (exchange, other), erlangs in pairs.items():
+            if (exchange, other) not in unconnected:
+                self.fabric.add_group(
+                    exchange, other, math.ceil(erlangs * fleet.spare + math.sqrt(erlangs) + 2)
+                )
         return weights
 
     def add_exchange(self, number: int, cold: bool) -> StandinExchange:
-        self.replaced += cold
-        name = f"x{number}" + (f"r{self.replaced}" if cold else "")
+        """Starts an exchange and lists it as ready; a cold one replaces another of the same number."""
+        self.replacements += cold
+        name = f"x{number}" + (f"r{self.replacements}" if cold else "")
         exchange = StandinExchange(self.kernel, self.fabric, name, number, "127.0.0.1:0", f"a{number}", cold)
         self.fabric.exchanges[number] = exchange
         self.exchange_list.set_state(exchange, "ready")
         return exchange
 
     def agent_settings(self, number: int, callers: str, state: str = "") -> settings.Agent:
+        """The settings of agent `number`; `callers`: its address, `state`: its folder."""
         script = self.script
         bearers = tuple(
             settings.Bearer(
-                label=one.label,
-                gos_target=one.gos_target,
-                abandon_time=one.abandon_time,
-                revenue=one.revenue,
-                late_revenue=one.late_revenue,
-                holding=one.holding,
+                label=bearer.label,
+                gos_target=bearer.gos_target,
+                abandon_time=bearer.abandon_time,
+                revenue=bearer.revenue,
+                late_revenue=bearer.late_revenue,
+                holding=bearer.holding,
             )
-            for one in script.bearer
+            for bearer in script.bearer
         )
         links = replace(settings.Links(), retry_most=SECOND)
         return settings.Agent(
@@ -154,6 +166,7 @@
         )
 
     def add_gateways(self, number: int, address: str) -> None:
+        """Starts the gateways of an exchange, connected to the agent at `address`."""
         for place in range(self.script.fleet.gateways):
             traffic = Traffic(0.0, self.weights[number], self.bearers, self.habits)
             self.gateways.append(
@@ -161,18 +174,20 @@
             )
 
     def set_rates(self) -> None:
-        """Each gateway's rate by the load curve and the surges that are on."""
+        """Sets each gateway's rate by the load curve and the surges under way."""
         for gateway in self.gateways:
             level = self.level
-            for who, multiple in self.surges.values():
-                if gateway.number in who:
+            for numbers, multiple in self.surges.values():
+                if gateway.number in numbers:
                     level *= multiple
             fleet = self.script.fleet
             gateway.traffic.rate = fleet.calls_a_second * level * gateway.rate_multiple / fleet.gateways
 
     def record_cold_load(self) -> None:
-        """The processors' own books on rule 4, for the judge: at the end, before restarts too."""
-        for exchange in [one for one, _ in self.exchange_list.exchanges.values()]:
+        """Records the peak load of each cold processor for rule 4: at the end, and before a restart resets
+        it.
+        """
+        for exchange in [exchange for exchange, _ in self.exchange_list.exchanges.values()]:
             processor = exchange.processor
             if processor.cold_samples:
                 self.record.add(
--- a/peattrestle/standin/hubs.py
+++ b/peattrestle/standin/hubs.py
@@ -1,4 +1,4 @@
-"""The exchange list in a stand-in registry: a key for each exchange."""
+"""The exchange list kept in a simulated registry, with one key for each exchange."""
 
 from __future__ import annotations
 
@@ -12,32 +12,36 @@
 PREFIX = "/peattrestle/exchanges/"
 
 
-class HubRegistry:
-    """The same to a rehearsal as `ListSource`. Here the registry itself learns late, and tells at once."""
+class RegistryListSource:
+    """A replacement for `ListSource`: changes reach the registry late, and agents at once."""
 
-    def __init__(self, kernel: Kernel, record: Record, address: str, late_least: int, late_most: int) -> None:
+    def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
         self.kernel, self.record = kernel, record
-        self.late_least, self.late_most = late_least, late_most
+        self.min_delay, self.max_delay = min_delay, max_delay
         self.draw = kernel.chance("hub registry")
         self.exchanges: dict[str, tuple[StandinExchange, str]] = {}
         self.regions: dict[int, str] = {}
         self.registry = StandinRegistry(kernel, address)
-        self.registry.on_told = self.told
+        self.registry.on_sent = self.record_sent
         self.address = self.registry.address
-        self._last: dict[str, int] = {}
+        self._last_change: dict[str, int] = {}
 
     def set_state(self, exchange: StandinExchange, state: str) -> None:
-        known = exchange.name in self.exchanges
+        """Sets the state of an exchange in the registry, after a random delay if it is known already."""
+        is_known = exchange.name in self.exchanges
         self.exchanges[exchange.name] = (exchange, state)
-        if not known:
+        if not is_known:
             self.write(exchange, state)
             return
-        # Later words of one exchange never overtake earlier ones.
-        at = self.kernel.now() + self.draw.randint(self.late_least, self.late_most)
-        at = self._last[exchange.name] = max(at, self._last.get(exchange.name, 0) + 1)
-        self.kernel.at(at, lambda: self.write(exchange, state))
+        # Changes of one exchange are never reordered.
+        write_at = self.kernel.now() + self.draw.randint(self.min_delay, self.max_delay)
+        write_at = self._last_change[exchange.name] = max(
+            write_at, self._last_change.get(exchange.name, 0) + 1
+        )
+        self.kernel.at(write_at, lambda: self.write(exchange, state))
 
     def write(self, exchange: StandinExchange, state: str) -> None:
+        """Writes the state of an exchange to the registry."""
         if state == "gone":
             self.registry.delete(PREFIX + exchange.name)
             return
@@ -53,13 +57,16 @@
         }
         self.registry.put(PREFIX + exchange.name, json.dumps(value).encode())
 
-    def told(self, agent: str, key: bytes, value: bytes | None) -> None:
+    def record_sent(self, agent: str, key: bytes, value: bytes | None) -> None:
+        """Records what an agent has been sent."""
         name = key.decode().removeprefix(PREFIX)
         state = "gone" if value is None else json.loads(value)["state"]
         self.record.add(self.kernel.now(), "told", "registry", agent, text=f"{name} {state}")
 
     def go_down(self) -> None:
+        """Makes the registry unreachable."""
         self.registry.leave()
 
     def recover(self) -> None:
+        """Makes the registry reachable again."""
         self.registry.come_back()
--- a/peattrestle/standin/listing.py
+++ b/peattrestle/standin/listing.py
@@ -1,4 +1,6 @@
-"""The stand-in exchange list: pushes to every agent, late, and knows only whether a processor runs."""
+"""A simulated exchange list that pushes changes to every agent after a delay, each agent at a time of its
+own.
+"""
 
 from __future__ import annotations
 
@@ -10,39 +12,45 @@
 
 
 class ListSource:
-    """`late_least`, `late_most`: how much later than the fact an agent is told, drawn for each agent."""
+    """Serves the exchange list to agents as JSON lines.
 
-    def __init__(self, kernel: Kernel, record: Record, address: str, late_least: int, late_most: int) -> None:
+    It knows only whether an exchange runs. `min_delay`, `max_delay`: bounds in nanoseconds of the random
+    delay with which each agent learns of a change.
+    """
+
+    def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
         self.kernel, self.record = kernel, record
-        self.late_least, self.late_most = late_least, late_most
+        self.min_delay, self.max_delay = min_delay, max_delay
         self.draw = kernel.chance("list source")
         self.exchanges: dict[str, tuple[StandinExchange, str]] = {}
         self.regions: dict[int, str] = {}
-        self.followers: dict[str, Stream] = {}
-        self.present = True
+        self.subscribers: dict[str, Stream] = {}
+        self.available = True
         self.listener: Listener = kernel.listen(address)
         self.address = self.listener.address
         kernel.spawn(self.run(), "list source")
 
     def run(self) -> Coroutine[None]:
+        """Accepts connections until the listener is closed."""
         while True:
             try:
                 stream = yield from self.listener.accept()
             except Lost:
                 return
-            self.kernel.spawn(self.follower(stream), f"list < {stream.peer}")
+            self.kernel.spawn(self.serve_subscriber(stream), f"list < {stream.peer}")
 
-    def follower(self, stream: Stream) -> Coroutine[None]:
+    def serve_subscriber(self, stream: Stream) -> Coroutine[None]:
+        """Reads the name of an agent, sends it the full list and keeps the connection for changes."""
         name = ""
         try:
-            held = b""
-            while b"\n" not in held:
+            buffer = b""
+            while b"\n" not in buffer:
                 data = yield from stream.read()
-                if not data or not self.present:
+                if not data or not self.available:
                     return
-                held += data
-            name = held.split(b"\n")[0].decode("ascii", "replace")[:64]
-            self.followers[name] = stream
+                buffer += data
+            name = buffer.split(b"\n")[0].decode("ascii", "replace")[:64]
+            self.subscribers[name] = stream
             self.send(name, stream, "full", list(self.exchanges))
             while (yield from stream.read()):
                 pass
@@ -50,17 +58,18 @@
             pass
         finally:
             stream.close()
-            if self.followers.get(name) is stream:
-                del self.followers[name]
+            if self.subscribers.get(name) is stream:
+                del self.subscribers[name]
 
     def send(self, name: str, stream: Stream, form: str, exchanges: list[str]) -> None:
+        """Sends the state of some exchanges to an agent; `form` is 'full' or 'delta'."""
         now, rows = self.kernel.now(), []
-        for one in exchanges:
-            exchange, state = self.exchanges[one]
+        for exchange_name in exchanges:
+            exchange, state = self.exchanges[exchange_name]
             age = now - exchange.started_at if exchange.started_at >= 0 else -1
             rows.append(
                 {
-                    "exchange": one,
+                    "exchange": exchange_name,
                     "number": exchange.number,
                     "state": state,
                     "address": exchange.address,
@@ -68,27 +77,28 @@
                     "age": age,
                 }
             )
-            self.record.add(now, "told", "list", name, text=f"{one} {state}")
+            self.record.add(now, "told", "list", name, text=f"{exchange_name} {state}")
         stream.write(json.dumps({"form": form, "entries": rows}).encode() + b"\n")
 
     def set_state(self, exchange: StandinExchange, state: str) -> None:
-        """What the list knows from now on; agents are told later, each at its own time."""
+        """Sets the state of an exchange; connected agents learn of it later, each after its own delay."""
         self.exchanges[exchange.name] = (exchange, state)
-        for name in list(self.followers):
-            late = self.draw.randint(self.late_least, self.late_most)
+        for name in list(self.subscribers):
+            delay = self.draw.randint(self.min_delay, self.max_delay)
 
-            def tell(name: str = name) -> None:
-                stream = self.followers.get(name)
-                if stream is not None and self.present:
+            def send_change(name: str = name) -> None:
+                stream = self.subscribers.get(name)
+                if stream is not None and self.available:
                     self.send(name, stream, "delta", [exchange.name])
 
-            self.kernel.at(self.kernel.now() + late, tell)
+            self.kernel.at(self.kernel.now() + delay, send_change)
 
     def go_down(self) -> None:
-        """Unreachable: connections end, and new ones are closed at once."""
-        self.present = False
-        for stream in list(self.followers.values()):
+        """Makes the list unreachable: connections end, and new ones are closed at once."""
+        self.available = False
+        for stream in list(self.subscribers.values()):
             stream.close()
 
     def recover(self) -> None:
-        self.present = True
+        """Makes the list reachable again."""
+        self.available = True
--- a/peattrestle/standin/record.py
+++ b/peattrestle/standin/record.py
@@ -1,6 +1,6 @@
-"""The record of the traffic: what was seen at the sockets of the stand-ins, in its order.
+"""The record of the traffic: what the sockets of the simulated surroundings received and sent, in order.
 
-The judge reads nothing else. Rows are plain; `kind` says which fields count.
+The judge reads nothing else. `kind` determines which fields of a row are used.
 """
 
 from __future__ import annotations
@@ -10,11 +10,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """`place`: the stand-in that saw it ('gateway 3', an exchange's name, 'list'). `agent`: the agent's name.
+    """One event, at `at` nanoseconds.
 
-    kinds: asked, repeated, answered, subtracted, confirmed (the reply to a caller's Subtract), dropped (a
-    caller's call ended with its connection), cut, add, replied, freed (a Subtract came), lost (a connection
-    to an agent ended), told, killed, fell, pressure.
+    `place`: the part that saw it ('gateway 3', the name of an exchange, 'list'). `agent`: the name of the
+    agent. The kinds are:
+
+    - asked: a set-up was sent to an agent; `value` is its abandon time
+    - repeated: the same set-up was sent again
+    - answered: a final answer came; `code` is 0, or that of the refusal
+    - subtracted: a release was sent
+    - confirmed: the reply to that release came
+    - dropped: a caller's call ended with its connection
+    - cut: an established call was cut
+    - add: a set-up of an agent came
+    - replied: it was answered
+    - freed: a release (Subtract) of an agent came
+    - lost: a connection to an agent ended
+    - told: an agent was sent the state of an exchange
+    - killed: an agent was killed
+    - fell: a cold processor failed under load; `value` is its start, `text` the agents that sent set-ups
+    - pressure: load of a cold processor; `code` is the peak in thousandths of the limit, `value` the set-ups
     """
 
     at: int
@@ -29,6 +44,8 @@
 
 
 class Record:
+    """Collects the rows of a rehearsal."""
+
     def __init__(self) -> None:
         self.rows: list[Row] = []
 
@@ -44,4 +61,5 @@
         value: int = 0,
         text: str = "",
     ) -> None:
+        """Adds a row."""
         self.rows.append(Row(at, kind, place, agent, termination, reference, code, value, text))
--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -1,6 +1,6 @@
-"""A stand-in registry in etcd's published JSON form: revisions, history, watches, compaction, faults.
+"""A simulated registry that speaks etcd's JSON gateway: revisions, history, watches, compaction and faults.
 
-It stands on bytes and JSON alone and shares nothing with the client but the kernel.
+It is built from bytes and JSON alone and shares nothing with the client but the kernel.
 """
 
 from __future__ import annotations
@@ -18,8 +18,13 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with it now. `cut_after`: bytes of the next answers after which the connection is reset;
-    -1 for never. `doubled`: news are sent twice. `late`: nanoseconds each answer is held back."""
+    """Faults that are active now.
+
+    `away`: unreachable. `mute`: requests are read and not answered. `cut_after`: the connection is reset
+    after so many bytes of the following answers; -1 for never. `doubled`: events are sent twice. `late`:
+    nanoseconds by which each answer is delayed. `error`: the HTTP status of every answer; 0 for none.
+    `news_stuck`: events are held back, in order.
+    """
 
     away: bool = False
     mute: bool = False
@@ -32,14 +37,18 @@
 
 @dataclass(slots=True)
 class Watcher:
+    """A watch of the keys in [`start_key`, `end_key`); `queue` holds the events not yet sent."""
+
     stream: Stream
-    low: bytes
-    high: bytes
+    start_key: bytes
+    end_key: bytes
     agent: str = ""
     queue: list[dict[str, Any]] = field(default_factory=list)
 
 
 class StandinRegistry:
+    """An etcd-like key-value store and its listening socket; `cluster` is its cluster id."""
+
     def __init__(self, kernel: Kernel, address: str, cluster: int = 4711) -> None:
         self.kernel, self.cluster = kernel, cluster
         self.revision, self.compacted = 1, 0
@@ -48,67 +57,73 @@
         self.watchers: list[Watcher] = []
         self.faults = Faults()
         self.streams: list[Stream] = []
-        # Told to whom (its User-Agent), of which key, and its value or None: as the bytes are sent.
-        self.on_told: Callable[[str, bytes, bytes | None], None] = lambda agent, key, value: None
+        # Called as a key is sent to a client: its User-Agent, the key, and the value or None for a deletion.
+        self.on_sent: Callable[[str, bytes, bytes | None], None] = lambda agent, key, value: None
         self.listener: Listener = kernel.listen(address)
         self.address = self.listener.address
         kernel.spawn(self.run(), "registry")
 
-    # What operators do.
+    # Changes by an operator.
 
     def put(self, key: str, value: bytes) -> int:
+        """Sets a key and returns the new revision."""
         name = key.encode()
         self.revision += 1
-        old = self.keys.get(name)
+        previous = self.keys.get(name)
         self.keys[name] = {
             "key": base64.b64encode(name).decode(),
-            "create_revision": old["create_revision"] if old else str(self.revision),
+            "create_revision": previous["create_revision"] if previous else str(self.revision),
             "mod_revision": str(self.revision),
-            "version": str(int(old["version"]) + 1 if old else 1),
+            "version": str(int(previous["version"]) + 1 if previous else 1),
             "value": base64.b64encode(value).decode(),
         }
-        self._changed(name, {"kv": dict(self.keys[name])})
+        self._append_event(name, {"kv": dict(self.keys[name])})
         return self.revision
 
     def delete(self, key: str) -> int:
+        """Deletes a key, if present, and returns the revision."""
         name = key.encode()
         if self.keys.pop(name, None) is None:
             return self.revision
         self.revision += 1
         kv = {"key": base64.b64encode(name).decode(), "mod_revision": str(self.revision)}
-        self._changed(name, {"type": "DELETE", "kv": kv})
+        self._append_event(name, {"type": "DELETE", "kv": kv})
         return self.revision
 
     def compact(self) -> None:
+        """Drops the history, so that a watch from an older revision is cancelled."""
         self.compacted = self.revision
         self.history.clear()
 
     def leave(self) -> None:
-        """Unreachable: connections end, new ones are reset."""
+        """Makes the registry unreachable: connections are reset, new ones too."""
         self.faults.away = True
         for stream in list(self.streams):
             stream.abort()
 
     def come_back(self) -> None:
+        """Makes the registry reachable again."""
         self.faults.away = False
 
     def restore(self, keys: dict[bytes, dict[str, Any]], revision: int, cluster: int) -> None:
-        """From an older copy, or as another registry."""
+        """Replaces the contents, as by a restored backup or another cluster; connections are reset."""
         self.keys, self.revision, self.cluster = dict(keys), revision, cluster
         self.compacted = revision
         self.history.clear()
         for stream in list(self.streams):
             stream.abort()
 
-    def _changed(self, name: bytes, event: dict[str, Any]) -> None:
+    def _append_event(self, name: bytes, event: dict[str, Any]) -> None:
+        """Keeps an event in the history and sends it to the watches it concerns."""
         self.history.append((self.revision, event))
-        for one in list(self.watchers):
-            if one.low <= name < one.high:
-                self._news(one, [event])
+        for watcher in list(self.watchers):
+            if watcher.start_key <= name < watcher.end_key:
+                self._send_events(watcher, [event])
 
-    # The wire.
+    # HTTP and JSON.
 
     def header(self) -> dict[str, str]:
+        """The header of each response."""
         return {
             "cluster_id": str(self.cluster),
             "member_id": "1",
@@ -117,6 +132,7 @@
         }
 
     def run(self) -> Coroutine[None]:
+        """Accepts connections until the listener is closed."""
         while True:
             try:
                 stream = yield from self.listener.accept()
@@ -125,105 +141,123 @@
             self.kernel.spawn(self.serve(stream), f"registry < {stream.peer}")
 
     def serve(self, stream: Stream) -> Coroutine[None]:
-        held = b""
+        """Handles the requests of one connection."""
+        buffer = b""
         self.streams.append(stream)
         try:
             while not self.faults.away:
                 data = yield from stream.read()
                 if not data:
                     return
-                held += data
-                head, gap, body = held.partition(b"\r\n\r\n")
-                if not gap:
+                buffer += data
+                head, separator, body = buffer.partition(b"\r\n\r\n")
+                if not separator:
                     continue
-                first, *fields = head.split(b"\r\n")
+                request_line, *headers = head.split(b"\r\n")
                 length = next(
-                    (int(one.split(b":")[1]) for one in fields if one.lower().startswith(b"content-length")),
+                    (
+                        int(header.split(b":")[1])
+                        for header in headers
+                        if header.lower().startswith(b"content-length")
+                    ),
                     0,
                 )
                 if len(body) < length:
                     continue
-                held = body[length:]
-                target = first.split(b" ")[1].decode()
+                buffer = body[length:]
+                target = request_line.split(b" ")[1].decode()
                 agent = next(
-                    (one.partition(b":")[2] for one in fields if one.lower().startswith(b"user-agent")), b""
+                    (
+                        header.partition(b":")[2]
+                        for header in headers
+                        if header.lower().startswith(b"user-agent")
+                    ),
+                    b"",
                 ).decode("ascii", "replace")
                 agent = agent.strip().removeprefix("peattrestle/")
                 if self.faults.late:
                     yield from self.kernel.sleep(self.faults.late)
                 if not self.faults.mute:
-                    self.answer(stream, agent, target, json.loads(body[:length] or b"{}"))
+                    self.handle_request(stream, agent, target, json.loads(body[:length] or b"{}"))
             stream.abort()
         except Lost:
             pass
         finally:
             self.streams.remove(stream)
-            self.watchers = [one for one in self.watchers if one.stream is not stream]
+            self.watchers = [watcher for watcher in self.watchers if watcher.stream is not stream]
             stream.close()
 
     def write(self, stream: Stream, data: bytes) -> None:
-        cut = self.faults.cut_after
-        if 0 <= cut < len(data):
+        """Writes data, subject to the fault `cut_after`."""
+        limit = self.faults.cut_after
+        if 0 <= limit < len(data):
             self.faults.cut_after = -1
-            stream.write(data[:cut])
+            stream.write(data[:limit])
             self.kernel.at(self.kernel.now() + 5 * MS, stream.abort)
         else:
-            self.faults.cut_after = cut - len(data) if cut >= 0 else cut
+            self.faults.cut_after = limit - len(data) if limit >= 0 else limit
             stream.write(data)
 
-    def whole(self, stream: Stream, status: str, body: dict[str, Any]) -> None:
+    def send_response(self, stream: Stream, status: str, body: dict[str, Any]) -> None:
+        """Sends a complete response."""
         data = json.dumps(body).encode()
         head = f"HTTP/1.1 {status}\r\nContent-Type: application/json\r\nContent-Length: {len(data)}\r\n\r\n"
         self.write(stream, head.encode() + data)
 
-    def answer(self, stream: Stream, agent: str, target: str, asked: dict[str, Any]) -> None:
+    def handle_request(self, stream: Stream, agent: str, target: str, request: dict[str, Any]) -> None:
+        """Handles a request: a range, a watch, or an unknown target."""
         if self.faults.error:
-            self.whole(stream, f"{self.faults.error} Broken", {"error": "no leader", "code": 14})
+            self.send_response(stream, f"{self.faults.error} Broken", {"error": "no leader", "code": 14})
         elif target == "/v3/kv/range":
-            low, high = base64.b64decode(asked["key"]), base64.b64decode(asked["range_end"])
-            found = [kv for name, kv in sorted(self.keys.items()) if low <= name < high]
+            start_key, end_key = base64.b64decode(request["key"]), base64.b64decode(request["range_end"])
+            found = [kv for name, kv in sorted(self.keys.items()) if start_key <= name < end_key]
             for kv in found:
-                self.on_told(agent, base64.b64decode(kv["key"]), base64.b64decode(kv["value"]))
-            self.whole(stream, "200 OK", {"header": self.header(), "kvs": found, "count": str(len(found))})
+                self.on_sent(agent, base64.b64decode(kv["key"]), base64.b64decode(kv["value"]))
+            self.send_response(
+                stream, "200 OK", {"header": self.header(), "kvs": found, "count": str(len(found))}
+            )
         elif target == "/v3/watch":
-            self.watch(stream, agent, asked["create_request"])
+            self.start_watch(stream, agent, request["create_request"])
         else:
-            self.whole(stream, "404 Not Found", {"error": "not here", "code": 5})
+            self.send_response(stream, "404 Not Found", {"error": "not here", "code": 5})
 
-    def watch(self, stream: Stream, agent: str, asked: dict[str, Any]) -> None:
-        since = int(asked.get("start_revision", self.revision + 1))
+    def start_watch(self, stream: Stream, agent: str, request: dict[str, Any]) -> None:
+        """Starts a watch and sends the events since the revision it starts from."""
+        since = int(request.get("start_revision", self.revision + 1))
         head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.write(stream, head)
-        self.line(stream, {"header": self.header(), "created": True})
+        self.send_chunk(stream, {"header": self.header(), "created": True})
         if since <= self.compacted:
-            gone = {"canceled": True, "compact_revision": str(self.compacted)}
-            self.line(stream, {"header": self.header(), **gone})
+            cancelled = {"canceled": True, "compact_revision": str(self.compacted)}
+            self.send_chunk(stream, {"header": self.header(), **cancelled})
             self.write(stream, b"0\r\n\r\n")
             return
-        low, high = base64.b64decode(asked["key"]), base64.b64decode(asked["range_end"])
-        one = Watcher(stream, low, high, agent)
-        self.watchers.append(one)
+        start_key, end_key = base64.b64decode(request["key"]), base64.b64decode(request["range_end"])
+        watcher = Watcher(stream, start_key, end_key, agent)
+        self.watchers.append(watcher)
         missed = [event for at, event in self.history if at >= since]
-        mine = [event for event in missed if low <= base64.b64decode(event["kv"]["key"]) < high]
-        if mine:
-            self._news(one, mine)
+        matching = [event for event in missed if start_key <= base64.b64decode(event["kv"]["key"]) < end_key]
+        if matching:
+            self._send_events(watcher, matching)
 
-    def _news(self, one: Watcher, events: list[dict[str, Any]]) -> None:
-        one.queue += events
+    def _send_events(self, watcher: Watcher, events: list[dict[str, Any]]) -> None:
+        """Queues events for a watch, and sends all that are queued unless a fault holds them back."""
+        watcher.queue += events
         if self.faults.news_stuck or self.faults.away:
-            return  # held up, in order: a watch never leaves one out
-        events, one.queue = one.queue, []
+            return  # kept in order, as a watch never skips an event
+        events, watcher.queue = watcher.queue, []
         for event in events:
             value = base64.b64decode(event["kv"]["value"]) if "value" in event["kv"] else None
-            self.on_told(one.agent, base64.b64decode(event["kv"]["key"]), value)
+            self.on_sent(watcher.agent, base64.b64decode(event["kv"]["key"]), value)
         for _ in range(2 if self.faults.doubled else 1):
-            self.line(one.stream, {"header": self.header(), "events": events})
+            self.send_chunk(watcher.stream, {"header": self.header(), "events": events})
 
     def progress(self) -> None:
-        """Every watch is told that it has seen all there is."""
-        for one in self.watchers:
-            self.line(one.stream, {"header": self.header()})
+        """Sends every watch a progress notification: the present revision, without events."""
+        for watcher in self.watchers:
+            self.send_chunk(watcher.stream, {"header": self.header()})
 
-    def line(self, stream: Stream, result: dict[str, Any]) -> None:
+    def send_chunk(self, stream: Stream, result: dict[str, Any]) -> None:
+        """Sends one JSON line of a watch as an HTTP chunk."""
         data = json.dumps({"result": result}).encode() + b"\n"
         self.write(stream, f"{len(data):x}\r\n".encode() + data + b"\r\n")
