--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -11,9 +11,9 @@
 from peattrestle.standin.callers import BearerProfile, Gateway, Habits, Traffic
 from peattrestle.standin.exchange import StandinExchange
 from peattrestle.standin.fabric import Fabric, ProcessorSettings
-from peattrestle.standin.hubs import RegistryListSource
-from peattrestle.standin.listing import ListSource
+from peattrestle.standin.list_source import ListSource
 from peattrestle.standin.record import Record
+from peattrestle.standin.registry_list_source import RegistryListSource
 
 SECOND = 1_000_000_000
 
