--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -20,10 +20,10 @@
 class Faults:
     """Faults that are active now.
 
-    `unreachable`: connections are reset. `mute`: requests are read and not answered. `cut_after`: the connection is reset
-    after so many bytes of the following answers; -1 for never. `doubled`: events are sent twice. `late`:
-    nanoseconds by which each answer is delayed. `error`: the HTTP status of every answer; 0 for none.
-    `news_stuck`: events are held back, in order.
+    `unreachable`: connections are reset. `mute`: requests are read and not answered. `cut_after`: the
+    connection is reset after so many bytes of the following answers; -1 for never. `doubled`: events are sent
+    twice. `late`: nanoseconds by which each answer is delayed. `error`: the HTTP status of every answer; 0
+    for none. `news_stuck`: events are held back, in order.
     """
 
     unreachable: bool = False
