--- a/peattrestle/trials/__init__.py
+++ b/peattrestle/trials/__init__.py
@@ -1,1 +1,1 @@
-"""Fault trials: real agent processes over loopback, stand-ins around them, and a judge."""
+"""Fault trials: real agent processes among stand-ins on loopback, checked against the documented rules."""
--- a/peattrestle/trials/__main__.py
+++ b/peattrestle/trials/__main__.py
@@ -1,41 +1,42 @@
-"""python -m peattrestle.trials: plays drawn fault trials of real agent processes on loopback.
+"""python -m peattrestle.trials: runs random fault trials of real agent processes on loopback.
 
-Exit codes: 0 no rule was broken, 1 one was, 2 the arguments are wrong.
+Exit codes: 0 no trial failed, 1 a trial failed, 2 the arguments are wrong.
 """
 
 from __future__ import annotations
 
 import argparse
 
-from peattrestle.trials.soak import Outcome, play_many
+from peattrestle.trials.soak import TrialResult, run_trials
 
-SHOWN_BREACHES = 5
+MAX_PRINTED_VIOLATIONS = 5
 
 
-def seeds_of(text: str) -> list[int]:
-    """'7', '1-50' or '3,8,20-25'. Raises ValueError."""
-    found: list[int] = []
+def parse_seeds(text: str) -> list[int]:
+    """Parses '7', '1-50' or '3,8,20-25'. Raises ValueError."""
+    seeds: list[int] = []
     for part in text.split(","):
         first, dash, last = part.partition("-")
-        found += range(int(first), int(last) + 1) if dash else [int(first)]
-    return found
-
-
-def show(outcome: Outcome, timeline: bool) -> None:
-    verdict = "passed" if outcome.passed else "FAILED"
-    figures = f"{outcome.requests} requests, {outcome.stood} stood, {outcome.attempts} attempts"
-    figures += f", stand-ins {outcome.observer_lag // 1_000_000} ms late at most"
-    print(f"seed {outcome.seed}: {verdict}, {figures}; {', '.join(outcome.troubles)}", flush=True)
-    if outcome.fault:
-        print(f"    could not be played: {outcome.fault}")
-    for breach in outcome.breaches[:SHOWN_BREACHES]:
-        print(f"    {breach.rule}: {breach.text[:300]}")
-    if len(outcome.breaches) > SHOWN_BREACHES:
-        print(f"    and {len(outcome.breaches) - SHOWN_BREACHES} more")
-    if outcome.folder:
-        print(f"    logs: {outcome.folder}")
+        seeds += range(int(first), int(last) + 1) if dash else [int(first)]
+    return seeds
+
+
+def print_result(result: TrialResult, timeline: bool) -> None:
+    """Prints one result with its first violations and, if asked for, its timeline."""
+    status = "passed" if result.passed else "FAILED"
+    figures = f"{result.requests} requests, {result.established} stood, {result.attempts} attempts"
+    figures += f", stand-ins {result.observer_lag // 1_000_000} ms late at most"
+    print(f"seed {result.seed}: {status}, {figures}; {', '.join(result.troubles)}", flush=True)
+    if result.error:
+        print(f"    could not be run: {result.error}")
+    for violation in result.violations[:MAX_PRINTED_VIOLATIONS]:
+        print(f"    {violation.rule}: {violation.text[:300]}")
+    if len(result.violations) > MAX_PRINTED_VIOLATIONS:
+        print(f"    and {len(result.violations) - MAX_PRINTED_VIOLATIONS} more")
+    if result.directory:
+        print(f"    logs: {result.directory}")
     if timeline:
-        print("\n".join(f"    {line}" for line in outcome.timeline))
+        print("\n".join(f"    {line}" for line in result.timeline))
 
 
 def main() -> int:
@@ -45,15 +46,15 @@
     parser.add_argument("--timeline", action="store_true", help="print what happened in each failed trial")
     arguments = parser.parse_args()
     try:
-        seeds = seeds_of(arguments.seeds)
+        seeds = parse_seeds(arguments.seeds)
     except ValueError:
-        parser.error(f"--seeds {arguments.seeds!r} is no list of seeds")
+        parser.error(f"--seeds {arguments.seeds!r} is not a list of seeds")
     if not seeds or arguments.jobs < 1:
-        parser.error("no seed, or fewer than one job")
+        parser.error(f"--seeds {arguments.seeds!r} names no seed, or --jobs {arguments.jobs} is less than 1")
     failed = 0
-    for outcome in play_many(seeds, arguments.jobs):
-        failed += not outcome.passed
-        show(outcome, arguments.timeline)
+    for result in run_trials(seeds, arguments.jobs):
+        failed += not result.passed
+        print_result(result, arguments.timeline)
     print(f"{len(seeds) - failed} passed, {failed} failed")
     return 1 if failed else 0
 
--- a/peattrestle/trials/deployment.py
+++ b/peattrestle/trials/deployment.py
@@ -1,4 +1,4 @@
-"""What one trial runs on: addresses, time limits, and the configuration file of each call agent."""
+"""The deployment of one trial: addresses, time limits and the configuration file of each call agent."""
 
 from __future__ import annotations
 
@@ -10,57 +10,63 @@
 MS = 1_000_000
 US = 1_000
 BEARER_TYPE = "line"
-LONGEST_DEADLINE_COUNTED = 3_000 * MS
-KILL_DELAY = 700 * MS
+MAX_COUNTED_DEADLINE = 3_000 * MS
+KILL_GRACE = 700 * MS
 FALL_WINDOW = 1_000 * MS
 COLD_TIME = 14_000 * MS
-FIRST_EXCHANGE_NET, FIRST_FEED_NET = 100, 200
+FIRST_EXCHANGE_SUBNET, FIRST_FEED_SUBNET = 100, 200
 
 
 @dataclass(slots=True, frozen=True)
 class Deployment:
-    """Times in nanoseconds. `deadline` is the longest time that a caller waits for its answer."""
+    """Sizes, limits and addresses. Times are in nanoseconds.
+
+    `deadline` is the longest time that a caller waits for its answer, `answer_target` the time aimed at,
+    `network` the second byte of the loopback addresses.
+    """
 
     agents: int = 1
     exchanges: int = 3
     deadline: int = 3_000 * MS
-    target: int = 400 * MS
-    holding: int = 1_500 * MS
+    answer_target: int = 400 * MS
+    holding_time: int = 1_500 * MS
     release_time: int = 150 * MS
     drain_grace: int = 1_000 * MS
-    dial_timeout: int = 500 * MS
-    sockets: int = 256
+    connect_timeout: int = 500 * MS
+    socket_limit: int = 256
     network: int = 10
     port: int = 3868
 
     @property
-    def kill_after(self) -> int:
-        """Earliest SIGKILL after SIGTERM (DAYS.md, "New configurations and restarts")."""
-        return min(self.deadline, LONGEST_DEADLINE_COUNTED) + KILL_DELAY
+    def kill_delay(self) -> int:
+        """Time from SIGTERM to the earliest SIGKILL (DAYS.md, "New configurations and restarts")."""
+        return min(self.deadline, MAX_COUNTED_DEADLINE) + KILL_GRACE
 
     def agent_address(self, agent: int) -> str:
+        """Returns the address on which an agent serves its callers."""
         return f"127.{self.network}.0.{agent + 1}:{self.port}"
 
     def exchange_address(self, number: int, agent: int) -> str:
-        """Each agent reaches every party at an address that is its own alone (BENCH.md)."""
-        return f"127.{self.network}.{FIRST_EXCHANGE_NET + agent}.{number + 1}:{self.port}"
+        """Returns an exchange's address for one agent; no two agents use the same one (BENCH.md)."""
+        return f"127.{self.network}.{FIRST_EXCHANGE_SUBNET + agent}.{number + 1}:{self.port}"
 
-    def feed_address(self, place: int, agent: int) -> str:
-        return f"127.{self.network}.{FIRST_FEED_NET + agent}.{place + 1}:{self.port}"
+    def feed_address(self, address_index: int, agent: int) -> str:
+        """Returns one of the feed's addresses for one agent; no two agents use the same one."""
+        return f"127.{self.network}.{FIRST_FEED_SUBNET + agent}.{address_index + 1}:{self.port}"
 
     def settings(self, own_number: int) -> dict[str, Any]:
-        """The settings as the platform writes them; times in microseconds."""
+        """Returns the settings as the platform writes them; times are in microseconds."""
         return {
             "Caps": {
                 "AttemptsCap": 6,
-                "DialTimeoutUs": self.dial_timeout // US,
+                "DialTimeoutUs": self.connect_timeout // US,
                 "MaxRetryAfterUs": 2_000_000,
                 "RetryAfter": True,
             },
             "Classes": [
                 {
                     "Name": BEARER_TYPE,
-                    "AimUs": self.target // US,
+                    "AimUs": self.answer_target // US,
                     "HardLimitUs": self.deadline // US,
                     "Worth": 1.0,
                     "Semantics": "read_like",
@@ -69,7 +75,7 @@
             "Discovery": "pushed",
             "FamilyInfo": {
                 "ClearWaitUs": self.release_time // US,
-                "HoldingUs": [self.holding // US],
+                "HoldingUs": [self.holding_time // US],
                 "OwnNumber": own_number,
                 "Topology": "mesh",
             },
@@ -86,18 +92,18 @@
         }
 
     def write_configuration(
-        self, path: Path, agent: int, seed: int, known: dict[str, Any], feed: str
+        self, path: Path, agent: int, seed: int, known_events: dict[str, Any], feed: str
     ) -> None:
-        """Replaces the configuration file of one agent in one step."""
-        tree = {
+        """Replaces the configuration file of one agent atomically. Raises OSError."""
+        configuration = {
             "name": f"n{agent}",
             "listen": self.agent_address(agent),
             "seed": f"{seed:x}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.socket_limit},
             "feed": feed,
-            "known": known,
+            "known": known_events,
             "settings": self.settings(agent),
         }
-        fresh = path.with_suffix(".new")
-        fresh.write_text(json.dumps(tree))
-        fresh.replace(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_text(json.dumps(configuration))
+        temporary.replace(path)
--- a/peattrestle/trials/draw.py
+++ b/peattrestle/trials/draw.py
@@ -1,4 +1,4 @@
-"""Trials drawn from a seed: a small deployment and a handful of troubles that overlap."""
+"""Random trials generated from a seed: a small deployment and several overlapping troubles."""
 
 from __future__ import annotations
 
@@ -8,224 +8,242 @@
 from pathlib import Path
 
 from peattrestle.runtime import Coroutine
-from peattrestle.trials.caller import ABUSE, AbusiveCaller, Habits
+from peattrestle.trials.caller import ABUSIVE_INPUTS, AbusiveCaller, CallerBehaviour
 from peattrestle.trials.deployment import Deployment
-from peattrestle.trials.exchange import Manner, StandInExchange
+from peattrestle.trials.exchange import Behaviour, StandInExchange
 from peattrestle.trials.feed import FeedState
-from peattrestle.trials.world import World, free_port
+from peattrestle.trials.world import TrialEnvironment, free_port
 
 MS = 1_000_000
 SECOND = 1_000 * MS
 DEADLINES = (100 * MS, 300 * MS, 1_000 * MS, 3_000 * MS)
 FIRST_NETWORK = 20
-NETWORKS = 200
-LENGTH = 9 * SECOND
-SETTLE = 1 * SECOND
-LONGEST_RESTART_SERIES = 25 * SECOND
-CROWD_AT_ONCE = 25
-SILENT_CROWD = 150
+NETWORK_COUNT = 200
+TROUBLE_DURATION = 9 * SECOND
+SETTLING_TIME = 1 * SECOND
+MAX_RESTART_DURATION = 25 * SECOND
+BURST_SIZE = 25
+SILENT_CROWD_SIZE = 150
 
 OUTAGES = (FeedState.DOWN, FeedState.SILENT, FeedState.REFUSING, FeedState.SLOW)
-SPOILT = (Manner.SPOIL, Manner.STOP_SHORT, Manner.TWICE, Manner.STRAY_FIRST, Manner.SLOW_WRITER)
-BROKEN = (Manner.NEVER, Manner.RESET, Manner.CLOSE, Manner.FULL, Manner.ERROR)
-
+FAULTY_ANSWERS = (
+    Behaviour.GARBAGE,
+    Behaviour.TRUNCATED,
+    Behaviour.DUPLICATE,
+    Behaviour.STRAY_ANSWER_FIRST,
+    Behaviour.SLOW_WRITE,
+)
+FAILURES = (Behaviour.NO_ANSWER, Behaviour.RESET, Behaviour.CLOSE, Behaviour.FULL, Behaviour.ERROR)
+
+# Injects one kind of fault into a running trial.
 Trouble = Callable[["Trial"], Coroutine[None]]
 
 
 @dataclass(slots=True, frozen=True)
-class Planned:
-    """One trouble and when it begins, in nanoseconds from the time all agents are in service."""
+class PlannedTrouble:
+    """A trouble and when it begins, in nanoseconds after all agents are in service."""
 
     name: str
     at: int
 
 
-def deployment_of(seed: int, chance: random.Random) -> Deployment:
-    deadline = chance.choice(DEADLINES)
+def draw_deployment(seed: int, rng: random.Random) -> Deployment:
+    """Returns a random deployment on loopback addresses that are reserved for the seed."""
+    deadline = rng.choice(DEADLINES)
     return Deployment(
-        agents=chance.choice((1, 2, 3)),
-        exchanges=chance.choice((3, 4)),
+        agents=rng.choice((1, 2, 3)),
+        exchanges=rng.choice((3, 4)),
         deadline=deadline,
-        target=round(deadline * chance.choice((0.2, 0.4, 0.9))),
-        holding=chance.choice((300, 1_500)) * MS,
+        answer_target=round(deadline * rng.choice((0.2, 0.4, 0.9))),
+        holding_time=rng.choice((300, 1_500)) * MS,
         release_time=min(150 * MS, deadline // 4),
-        sockets=chance.choice((256, 640)),
-        network=FIRST_NETWORK + seed % NETWORKS,
+        socket_limit=rng.choice((256, 640)),
+        network=FIRST_NETWORK + seed % NETWORK_COUNT,
         port=free_port(),
     )
 
 
 class Trial:
-    """One drawn trial. The seed draws what happens; the moments depend on real time."""
-
-    def __init__(self, seed: int, folder: Path, crowd: bool = False) -> None:
-        self.seed, self.chance = seed, random.Random(f"trial/{seed}")
-        deployment = deployment_of(seed, self.chance)
-        habits = Habits(
-            interval=self.chance.choice((10, 25, 60)) * MS,
-            connections=self.chance.choice((1, 3, 6)),
-            pieces=self.chance.choice((0.0, 0.1, 0.4)),
-            gives_up=self.chance.choice((0.0, 0.05, 0.3)),
-            repeats=self.chance.choice((0.0, 0.3, 0.8)),
-            leaves=self.chance.choice((0.0, 0.2)),
-            at_once=CROWD_AT_ONCE if crowd else 1,
+    """One random trial. The seed determines what happens; the exact moments depend on real time."""
+
+    def __init__(self, seed: int, directory: Path, in_bursts: bool = False) -> None:
+        self.seed, self.rng = seed, random.Random(f"trial/{seed}")
+        deployment = draw_deployment(seed, self.rng)
+        caller_behaviour = CallerBehaviour(
+            mean_interval=self.rng.choice((10, 25, 60)) * MS,
+            max_connections=self.rng.choice((1, 3, 6)),
+            slow_write_share=self.rng.choice((0.0, 0.1, 0.4)),
+            abandon_share=self.rng.choice((0.0, 0.05, 0.3)),
+            retry_share=self.rng.choice((0.0, 0.3, 0.8)),
+            disconnect_share=self.rng.choice((0.0, 0.2)),
+            burst_size=BURST_SIZE if in_bursts else 1,
         )
-        self.world = World(deployment, folder, seed, habits)
-        for exchange in self.world.exchanges.values():
-            self.set_manners(exchange)
+        self.environment = TrialEnvironment(deployment, directory, seed, caller_behaviour)
+        for exchange in self.environment.exchanges.values():
+            self.draw_behaviours(exchange)
         self.plan = self.draw_plan()
 
-    def draw_plan(self) -> list[Planned]:
-        """Restarts always; of the others some, each within the first two thirds of the trial."""
-        names = self.chance.sample(sorted(set(TROUBLES) - {"restarts"}), self.chance.randint(3, 6))
-        at = [self.chance.randint(0, LENGTH * 2 // 3 // MS) * MS for _ in names]
-        plan = [Planned(name, when) for name, when in zip(names, at, strict=True)]
-        plan.append(Planned("restarts", self.chance.randint(500, 2_500) * MS))
-        return sorted(plan, key=lambda one: one.at)
-
-    def set_manners(self, exchange: StandInExchange) -> None:
-        deadline = self.world.deployment.deadline
-        most = round(deadline * self.chance.choice((0.1, 0.3, 0.6)))
-        exchange.delay = (min(2 * MS, most), most)
-        drawn = self.chance.sample(SPOILT, 2) + self.chance.sample(BROKEN, 2)
-        exchange.late_connections = self.chance.choice((0.0, 0.3))
-        share = self.chance.choice((0.0, 0.01, 0.05))
-        exchange.manners = dict.fromkeys(drawn, share)
-
-    def play(self) -> None:
-        """Raises RuntimeError where the agents do not come up or the trial does not end."""
-        world = self.world
-        if not world.play(world.bring_up_all(), 30 * SECOND):
-            raise RuntimeError("the agents did not come up")
-        tasks = [world.kernel.spawn(self.begin(one), one.name) for one in self.plan]
-        world.run(LENGTH)
-        until = world.kernel.now() + LONGEST_RESTART_SERIES
-        while not all(task.done for task in tasks) and world.kernel.now() < until:
-            world.run(50 * MS)
-        world.quiet()
-        world.run(world.deployment.deadline + SETTLE)
-
-    def begin(self, planned: Planned) -> Coroutine[None]:
-        yield from self.world.kernel.sleep(planned.at)
-        self.world.record.note(self.world.kernel.now(), f"trouble: {planned.name}")
+    def draw_plan(self) -> list[PlannedTrouble]:
+        """Returns a restart and some other troubles, ordered by time.
+
+        The others begin within the first two thirds of the trial.
+        """
+        names = self.rng.sample(sorted(set(TROUBLES) - {"restarts"}), self.rng.randint(3, 6))
+        offsets = [self.rng.randint(0, TROUBLE_DURATION * 2 // 3 // MS) * MS for _ in names]
+        plan = [PlannedTrouble(name, offset) for name, offset in zip(names, offsets, strict=True)]
+        plan.append(PlannedTrouble("restarts", self.rng.randint(500, 2_500) * MS))
+        return sorted(plan, key=lambda planned: planned.at)
+
+    def draw_behaviours(self, exchange: StandInExchange) -> None:
+        """Sets the delays of an exchange and how often it misbehaves."""
+        deadline = self.environment.deployment.deadline
+        max_delay = round(deadline * self.rng.choice((0.1, 0.3, 0.6)))
+        exchange.delay = (min(2 * MS, max_delay), max_delay)
+        behaviours = self.rng.sample(FAULTY_ANSWERS, 2) + self.rng.sample(FAILURES, 2)
+        exchange.late_report_share = self.rng.choice((0.0, 0.3))
+        share = self.rng.choice((0.0, 0.01, 0.05))
+        exchange.behaviours = dict.fromkeys(behaviours, share)
+
+    def run(self) -> None:
+        """Runs the trial to its end. Raises RuntimeError if the agents do not become ready."""
+        environment = self.environment
+        if not environment.run_script(environment.start_all_agents(), 30 * SECOND):
+            raise RuntimeError("the agents did not become ready within 30 s")
+        tasks = [environment.kernel.spawn(self.run_trouble(planned), planned.name) for planned in self.plan]
+        environment.run(TROUBLE_DURATION)
+        deadline = environment.kernel.now() + MAX_RESTART_DURATION
+        while not all(task.done for task in tasks) and environment.kernel.now() < deadline:
+            environment.run(50 * MS)
+        environment.stop_callers()
+        environment.run(environment.deployment.deadline + SETTLING_TIME)
+
+    def run_trouble(self, planned: PlannedTrouble) -> Coroutine[None]:
+        """Waits until the trouble is due and runs it."""
+        yield from self.environment.kernel.sleep(planned.at)
+        self.environment.record.add_event(self.environment.kernel.now(), f"trouble: {planned.name}")
         yield from TROUBLES[planned.name](self)
 
-    # Drawn parties.
+    # Random choices.
 
-    def exchange(self) -> StandInExchange:
-        return self.chance.choice(list(self.world.exchanges.values()))
+    def random_exchange(self) -> StandInExchange:
+        """Returns one of the running exchanges."""
+        return self.rng.choice(list(self.environment.exchanges.values()))
 
-    def wait(self, least_ms: int, most_ms: int) -> Coroutine[None]:
-        yield from self.world.kernel.sleep(self.chance.randint(least_ms, most_ms) * MS)
+    def random_sleep(self, min_ms: int, max_ms: int) -> Coroutine[None]:
+        """Sleeps for a random time between the bounds, in milliseconds."""
+        yield from self.environment.kernel.sleep(self.rng.randint(min_ms, max_ms) * MS)
 
 
 def restarts(trial: Trial) -> Coroutine[None]:
-    """All agents one after the other, at times all at once."""
-    world = trial.world
-    agents = list(range(world.deployment.agents))
-    if trial.chance.random() < 0.25:
-        tasks = [world.kernel.spawn(world.planned_restart(agent), "restart") for agent in agents]
+    """Restarts all agents one after the other; in a quarter of the trials all at once."""
+    environment = trial.environment
+    agents = list(range(environment.deployment.agents))
+    if trial.rng.random() < 0.25:
+        tasks = [environment.kernel.spawn(environment.planned_restart(agent), "restart") for agent in agents]
         for task in tasks:
             yield from task.join()
         return
     for agent in agents:
-        yield from world.planned_restart(agent)
+        yield from environment.planned_restart(agent)
 
 
 def crash(trial: Trial) -> Coroutine[None]:
-    agent = trial.chance.randrange(trial.world.deployment.agents)
-    yield from trial.world.crash(agent)
+    """Kills an agent without warning and starts it again."""
+    agent = trial.rng.randrange(trial.environment.deployment.agents)
+    yield from trial.environment.crash_agent(agent)
 
 
 def hang(trial: Trial) -> Coroutine[None]:
-    """An exchange hangs, at times for the length of a shutdown."""
-    exchange = trial.exchange()
+    """An exchange hangs, sometimes for as long as an agent's shutdown takes."""
+    exchange = trial.random_exchange()
     exchange.silent = True
-    yield from trial.wait(500, 5_000)
+    yield from trial.random_sleep(500, 5_000)
     exchange.silent = False
 
 
 def replacements(trial: Trial) -> Coroutine[None]:
-    """Exchanges vanish and others take their addresses, in series."""
-    for _ in range(trial.chance.randint(1, 3)):
-        trial.world.replace(trial.exchange().name)
-        yield from trial.wait(100, 1_000)
+    """Exchanges end one after the other and new ones take over their addresses."""
+    for _ in range(trial.rng.randint(1, 3)):
+        trial.environment.replace_exchange(trial.random_exchange().name)
+        yield from trial.random_sleep(100, 1_000)
 
 
 def drain(trial: Trial) -> Coroutine[None]:
-    """An exchange drains, goes, and another one comes in its place."""
-    exchange = trial.exchange()
-    trial.world.drain(exchange.name)
-    yield from trial.wait(100, 2_500)
-    if exchange.name in trial.world.exchanges:
-        trial.world.replace(exchange.name)
+    """An exchange drains, ends, and is replaced by a new one."""
+    exchange = trial.random_exchange()
+    trial.environment.drain_exchange(exchange.name)
+    yield from trial.random_sleep(100, 2_500)
+    if exchange.name in trial.environment.exchanges:
+        trial.environment.replace_exchange(exchange.name)
 
 
 def feed_outage(trial: Trial) -> Coroutine[None]:
-    """The feed is away; an exchange drains close to its return."""
-    world = trial.world
-    if world.feed.state is not FeedState.UP:
+    """The feed has an outage; an exchange drains shortly before or after it is back."""
+    environment = trial.environment
+    if environment.feed.state is not FeedState.UP:
         return
-    world.fail_feed(trial.chance.choice(OUTAGES))
-    yield from trial.wait(300, 4_000)
-    before = trial.chance.random() < 0.5
-    if before:
-        world.drain(trial.exchange().name)
-    yield from trial.wait(0, 200)
-    world.recover_feed()
-    if not before:
-        yield from trial.wait(0, 500)
-        world.drain(trial.exchange().name)
+    environment.start_feed_outage(trial.rng.choice(OUTAGES))
+    yield from trial.random_sleep(300, 4_000)
+    drain_in_outage = trial.rng.random() < 0.5
+    if drain_in_outage:
+        environment.drain_exchange(trial.random_exchange().name)
+    yield from trial.random_sleep(0, 200)
+    environment.end_feed_outage()
+    if not drain_in_outage:
+        yield from trial.random_sleep(0, 500)
+        environment.drain_exchange(trial.random_exchange().name)
 
 
 def configurations(trial: Trial) -> Coroutine[None]:
-    """New configurations in quick succession."""
-    for _ in range(trial.chance.randint(1, 3)):
-        if trial.world.feed.state is FeedState.UP:
-            trial.world.move_feed()
-        yield from trial.wait(5, 700)
-    if trial.chance.random() < 0.5:
-        trial.world.drain(trial.exchange().name)
+    """The feed moves several times, so agents get new configurations in quick succession."""
+    for _ in range(trial.rng.randint(1, 3)):
+        if trial.environment.feed.state is FeedState.UP:
+            trial.environment.move_feed()
+        yield from trial.random_sleep(5, 700)
+    if trial.rng.random() < 0.5:
+        trial.environment.drain_exchange(trial.random_exchange().name)
 
 
 def abuse(trial: Trial) -> Coroutine[None]:
-    """Bad callers at every agent that is in service."""
-    world = trial.world
-    for _ in range(trial.chance.randint(3, 10)):
-        agent = trial.chance.randrange(world.deployment.agents)
-        if world.agents[agent].in_service:
-            address = world.deployment.agent_address(agent)
-            AbusiveCaller(world.kernel, world.record, address, trial.chance.choice(ABUSE))
-        yield from trial.wait(1, 150)
+    """Abusive callers connect to agents that are in service."""
+    environment = trial.environment
+    for _ in range(trial.rng.randint(3, 10)):
+        agent = trial.rng.randrange(environment.deployment.agents)
+        if environment.agents[agent].in_service:
+            address = environment.deployment.agent_address(agent)
+            AbusiveCaller(environment.kernel, environment.record, address, trial.rng.choice(ABUSIVE_INPUTS))
+        yield from trial.random_sleep(1, 150)
 
 
 def silent_crowd(trial: Trial) -> Coroutine[None]:
-    """Many connect and say nothing."""
-    world = trial.world
-    agent = trial.chance.randrange(world.deployment.agents)
-    if world.agents[agent].in_service:
-        for _ in range(SILENT_CROWD):
-            AbusiveCaller(world.kernel, world.record, world.deployment.agent_address(agent), b"")
-    yield from trial.wait(1, 10)
+    """Many callers connect to one agent and send nothing."""
+    environment = trial.environment
+    agent = trial.rng.randrange(environment.deployment.agents)
+    if environment.agents[agent].in_service:
+        for _ in range(SILENT_CROWD_SIZE):
+            AbusiveCaller(
+                environment.kernel, environment.record, environment.deployment.agent_address(agent), b""
+            )
+    yield from trial.random_sleep(1, 10)
 
 
 def resets(trial: Trial) -> Coroutine[None]:
-    """Connections to exchanges and from callers are reset under what is open on them."""
-    for _ in range(trial.chance.randint(2, 12)):
-        if trial.chance.random() < 0.6:
-            trial.exchange().end_one(by_reset=trial.chance.random() < 0.5)
+    """Connections to exchanges and from callers end while requests are open on them."""
+    for _ in range(trial.rng.randint(2, 12)):
+        if trial.rng.random() < 0.6:
+            trial.random_exchange().end_random_connection(by_reset=trial.rng.random() < 0.5)
         else:
-            trial.chance.choice(trial.world.callers).reset_one()
-        yield from trial.wait(10, 400)
+            trial.rng.choice(trial.environment.callers).reset_random_connection()
+        yield from trial.random_sleep(10, 400)
 
 
 def worse_exchanges(trial: Trial) -> Coroutine[None]:
-    """All exchanges change their manners at once, then back to answers."""
-    for exchange in trial.world.exchanges.values():
-        exchange.manners = dict.fromkeys(trial.chance.sample([*SPOILT, *BROKEN], 4), 0.12)
-    yield from trial.wait(500, 3_000)
-    for exchange in trial.world.exchanges.values():
-        exchange.manners = {}
+    """All exchanges misbehave more often for a while, then answer every set-up."""
+    for exchange in trial.environment.exchanges.values():
+        exchange.behaviours = dict.fromkeys(trial.rng.sample([*FAULTY_ANSWERS, *FAILURES], 4), 0.12)
+    yield from trial.random_sleep(500, 3_000)
+    for exchange in trial.environment.exchanges.values():
+        exchange.behaviours = {}
 
 
 TROUBLES: dict[str, Trouble] = {
--- a/peattrestle/trials/exchange.py
+++ b/peattrestle/trials/exchange.py
@@ -1,4 +1,4 @@
-"""A stand-in exchange over JSON lines that can misbehave at each set-up."""
+"""A stand-in exchange on the JSON lines protocol that can misbehave at each set-up."""
 
 from __future__ import annotations
 
@@ -13,27 +13,32 @@
 
 MS = 1_000_000
 REPORT_INTERVAL = 100 * MS
-CIRCUITS = 200
+CIRCUIT_COUNT = 200
 
 
-class Manner(enum.Enum):
+class Behaviour(enum.Enum):
     """What the exchange does with a set-up."""
 
     ANSWER = "answer"
     FULL = "full"
     ERROR = "error"
-    NEVER = "never answers"
+    NO_ANSWER = "never answers"
     RESET = "resets the connection"
     CLOSE = "closes the connection"
-    SPOIL = "writes noise"
-    STOP_SHORT = "writes half an answer"
-    TWICE = "answers twice"
-    STRAY_FIRST = "answers an unknown call first"
-    SLOW_WRITER = "writes its answer in pieces"
+    GARBAGE = "writes garbage"
+    TRUNCATED = "writes part of an answer"
+    DUPLICATE = "answers twice"
+    STRAY_ANSWER_FIRST = "answers an unknown call first"
+    SLOW_WRITE = "writes its answer in pieces"
 
 
 class StandInExchange:
-    """`silent`: it accepts and says nothing, as a process that hangs; what it is sent is still recorded."""
+    """An exchange that serves all agents, each on an address of its own.
+
+    While `silent` it accepts connections and sends nothing, like a hanging process, but still records what it
+    receives. `behaviours` has the share of set-ups for each misbehaviour, `delay` the bounds of the
+    answer delay.
+    """
 
     def __init__(
         self,
@@ -41,20 +46,20 @@
         record: Record,
         name: str,
         addresses: list[str],
-        chance: random.Random,
-        holding: int,
+        rng: random.Random,
+        holding_time: int,
     ) -> None:
         self.kernel, self.record, self.name = kernel, record, name
-        self.chance, self.holding = chance, holding
-        self.manners: dict[Manner, float] = {}
+        self.rng, self.holding_time = rng, holding_time
+        self.behaviours: dict[Behaviour, float] = {}
         self.delay = (2 * MS, 60 * MS)
-        self.late_connections = 0.0  # share of connections that come up late
+        self.late_report_share = 0.0  # share of connections on which the first load report is late
         self.silent = False
         self.alive = True
-        self.streams: dict[Stream, int] = {}  # and the agent that made it
-        self.standing: dict[str, tuple[Attempt, Stream]] = {}
-        self.out: dict[tuple[Stream, str], Attempt] = {}
-        self.owed: dict[int, list[tuple[Attempt, bytes]]] = {}
+        self.streams: dict[Stream, int] = {}  # the agent that opened each connection
+        self.established: dict[str, tuple[Attempt, Stream]] = {}
+        self.pending: dict[tuple[Stream, str], Attempt] = {}
+        self.repeated_releases: dict[int, list[tuple[Attempt, bytes]]] = {}
         self.listeners = [kernel.listen(address) for address in addresses]
         for agent, listener in enumerate(self.listeners):
             kernel.spawn(self.accept(listener, agent), f"exchange {name}")
@@ -70,8 +75,8 @@
 
     def serve(self, stream: Stream) -> Coroutine[None]:
         reader = lines.Reader()
-        reporter = self.kernel.spawn(self.report(stream), "reports")
-        self.kernel.spawn(self.send_owed(stream), "releases once more")
+        reporter = self.kernel.spawn(self.send_load_reports(stream), "load reports")
+        self.kernel.spawn(self.repeat_releases(stream), "repeat releases")
         try:
             while True:
                 data = yield from stream.read()
@@ -79,160 +84,167 @@
                     break
                 reader.feed(data)
                 while (line := reader.next()) is not None:
-                    self.heard(stream, line)
+                    self.handle_line(stream, line)
         except Lost:
             pass
-        except lines.BadLine as fault:
-            self.record.unsolicited.append(f"{self.name} got an unreadable line: {fault}")
+        except lines.BadLine as error:
+            self.record.unsolicited.append(f"{self.name} got an unreadable line: {error}")
         finally:
             reporter.cancel()
-            self.lost(stream)
+            self.on_disconnect(stream)
 
-    def lost(self, stream: Stream) -> None:
+    def on_disconnect(self, stream: Stream) -> None:
+        """Ends the pending attempts of a connection that has ended."""
         self.streams.pop(stream, None)
-        for key in [key for key in self.out if key[0] is stream]:
-            self.end(self.out.pop(key), AttemptEnd.CUT)
+        for key in [key for key in self.pending if key[0] is stream]:
+            self.end_attempt(self.pending.pop(key), AttemptEnd.CONNECTION_ENDED)
         stream.close()
 
-    def report(self, stream: Stream) -> Coroutine[None]:
-        if self.chance.random() < self.late_connections:
-            yield from self.kernel.sleep(self.chance.randint(50, 1_000) * MS)
+    def send_load_reports(self, stream: Stream) -> Coroutine[None]:
+        if self.rng.random() < self.late_report_share:
+            yield from self.kernel.sleep(self.rng.randint(50, 1_000) * MS)
         while True:
             if not self.silent:
-                free = CIRCUITS - len(self.standing)
+                free = CIRCUIT_COUNT - len(self.established)
                 load = ";".join(f"x{n}:{free}" for n in range(4)) + ";queue:0;qps:400"
-                self.say(stream, {"verb": "LOAD", "opts": {"load": load}})
+                self.send(stream, {"verb": "LOAD", "opts": {"load": load}})
             yield from self.kernel.sleep(REPORT_INTERVAL)
 
-    def send_owed(self, stream: Stream) -> Coroutine[None]:
-        """A release is sent once more on the next connection that is opened."""
-        yield from self.hang()
-        for attempt, data in self.owed.pop(self.streams.get(stream, -1), []):
+    def repeat_releases(self, stream: Stream) -> Coroutine[None]:
+        """Sends releases again on the next connection that their agent opens."""
+        yield from self.wait_while_silent()
+        for attempt, data in self.repeated_releases.pop(self.streams.get(stream, -1), []):
             attempt.released_at = self.kernel.now()
             stream.write(data)
 
-    def say(self, stream: Stream, line: dict[str, Any]) -> None:
+    def send(self, stream: Stream, line: dict[str, Any]) -> None:
+        """Writes one line, unless the exchange is silent."""
         if not self.silent:
             stream.write(json.dumps({"opts": {}} | line).encode() + b"\n")
 
-    def heard(self, stream: Stream, line: lines.Line) -> None:
+    def handle_line(self, stream: Stream, line: lines.Line) -> None:
         if line.verb == "START":
-            self.set_up(stream, line)
+            self.handle_set_up(stream, line)
         elif line.verb == "FINISH":
-            self.released(stream, line.tag)
+            self.handle_release(stream, line.tag)
         elif line.verb == "ECHO":
-            self.say(stream, {"verb": "ECHOED", "tag": line.tag, "rc": 1})
+            self.send(stream, {"verb": "ECHOED", "tag": line.tag, "rc": 1})
 
-    def set_up(self, stream: Stream, line: lines.Line) -> None:
+    def handle_set_up(self, stream: Stream, line: lines.Line) -> None:
+        """Records the attempt and reacts to it with a random behaviour."""
         now = self.kernel.now()
         if line.tag not in self.record.requests:
             self.record.unsolicited.append(f"{self.name} got a set-up {line.tag} that no caller sent")
             return
         attempt = Attempt(line.tag, self.name, now)
         self.record.attempts.append(attempt)
-        self.out[stream, line.tag] = attempt
-        manner = self.draw_manner()
-        delay = self.chance.randint(*self.delay)
-        self.kernel.spawn(self.act(stream, attempt, manner, delay), "set-up")
-
-    def draw_manner(self) -> Manner:
-        point = self.chance.random()
-        for manner, share in self.manners.items():
-            point -= share
-            if point < 0:
-                return manner
-        return Manner.ANSWER
-
-    def act(self, stream: Stream, attempt: Attempt, manner: Manner, delay: int) -> Coroutine[None]:
+        self.pending[stream, line.tag] = attempt
+        behaviour = self.random_behaviour()
+        delay = self.rng.randint(*self.delay)
+        self.kernel.spawn(self.perform(stream, attempt, behaviour, delay), "set-up")
+
+    def random_behaviour(self) -> Behaviour:
+        """Returns a behaviour by its share, else ANSWER."""
+        remaining = self.rng.random()
+        for behaviour, share in self.behaviours.items():
+            remaining -= share
+            if remaining < 0:
+                return behaviour
+        return Behaviour.ANSWER
+
+    def perform(self, stream: Stream, attempt: Attempt, behaviour: Behaviour, delay: int) -> Coroutine[None]:
+        """Reacts to an attempt after `delay`, unless it has ended by then."""
         yield from self.kernel.sleep(delay)
-        yield from self.hang()
-        if self.out.get((stream, attempt.call_id)) is not attempt:
+        yield from self.wait_while_silent()
+        if self.pending.get((stream, attempt.call_id)) is not attempt:
             return
         tag = attempt.call_id
-        match manner:
-            case Manner.FULL | Manner.ERROR:
-                self.end(self.out.pop((stream, tag)), AttemptEnd.REFUSED)
-                cause = lines.FULL if manner is Manner.FULL else lines.BUSY
-                self.say(stream, {"verb": "FINISH", "tag": tag, "rc": cause})
-            case Manner.NEVER:
+        match behaviour:
+            case Behaviour.FULL | Behaviour.ERROR:
+                self.end_attempt(self.pending.pop((stream, tag)), AttemptEnd.REFUSED)
+                cause = lines.FULL if behaviour is Behaviour.FULL else lines.BUSY
+                self.send(stream, {"verb": "FINISH", "tag": tag, "rc": cause})
+            case Behaviour.NO_ANSWER:
                 pass
-            case Manner.RESET:
+            case Behaviour.RESET:
                 stream.abort()
-            case Manner.CLOSE:
+            case Behaviour.CLOSE:
                 stream.close()
-            case Manner.SPOIL:
+            case Behaviour.GARBAGE:
                 stream.write(b'{"verb":"STARTED","tag":\x00\xff\n')
-            case Manner.STOP_SHORT:
+            case Behaviour.TRUNCATED:
                 stream.write(b'{"verb":"STARTED","tag":"' + tag.encode())
             case _:
-                yield from self.start(stream, attempt, manner)
+                yield from self.answer_set_up(stream, attempt, behaviour)
 
-    def hang(self) -> Coroutine[None]:
+    def wait_while_silent(self) -> Coroutine[None]:
         while self.silent and self.alive:
             yield from self.kernel.sleep(20 * MS)
 
-    def start(self, stream: Stream, attempt: Attempt, manner: Manner) -> Coroutine[None]:
+    def answer_set_up(self, stream: Stream, attempt: Attempt, behaviour: Behaviour) -> Coroutine[None]:
+        """Answers the set-up, holds the call for a random time and ends it."""
         tag = attempt.call_id
-        self.end(self.out.pop((stream, tag)), AttemptEnd.STARTED)
-        attempt.description = f"{self.chance.getrandbits(64):016x}\r\nc=IN IP4 10.9.9.9\r\n"
+        self.end_attempt(self.pending.pop((stream, tag)), AttemptEnd.STARTED)
+        attempt.description = f"{self.rng.getrandbits(64):016x}\r\nc=IN IP4 10.9.9.9\r\n"
         answer = {"verb": "STARTED", "tag": tag, "opts": {}, "blob": attempt.description}
         data = json.dumps(answer).encode() + b"\n"
-        self.standing[tag] = attempt, stream
-        if manner is Manner.STRAY_FIRST:
-            stray = answer | {"tag": f"{self.chance.getrandbits(64):016x}"}
+        self.established[tag] = attempt, stream
+        if behaviour is Behaviour.STRAY_ANSWER_FIRST:
+            stray = answer | {"tag": f"{self.rng.getrandbits(64):016x}"}
             stream.write(json.dumps(stray).encode() + b"\n")
-        if manner is Manner.SLOW_WRITER:
-            middle = self.chance.randrange(1, len(data))
+        if behaviour is Behaviour.SLOW_WRITE:
+            middle = self.rng.randrange(1, len(data))
             stream.write(data[:middle])
-            yield from self.kernel.sleep(self.chance.randint(1, 40) * MS)
+            yield from self.kernel.sleep(self.rng.randint(1, 40) * MS)
             data = data[middle:]
         stream.write(data)
-        if manner is Manner.TWICE:
-            yield from self.kernel.sleep(self.chance.randint(0, 5) * MS)
+        if behaviour is Behaviour.DUPLICATE:
+            yield from self.kernel.sleep(self.rng.randint(0, 5) * MS)
             stream.write(json.dumps(answer).encode() + b"\n")
-        yield from self.kernel.sleep(round(self.holding * (0.5 + self.chance.random())))
-        yield from self.hang()
-        if self.standing.get(tag, (None,))[0] is attempt and self.alive:
-            self.finish(tag)
-
-    def finish(self, tag: str) -> None:
-        """The call has come to its end: said on its own connection, else on another, and on the next one."""
-        attempt, stream = self.standing.pop(tag)
+        yield from self.kernel.sleep(round(self.holding_time * (0.5 + self.rng.random())))
+        yield from self.wait_while_silent()
+        if self.established.get(tag, (None,))[0] is attempt and self.alive:
+            self.end_call(tag)
+
+    def end_call(self, tag: str) -> None:
+        """Releases the call on its connection or another one of its agent, and again on the next one."""
+        attempt, stream = self.established.pop(tag)
         attempt.released_at = self.kernel.now()
         data = json.dumps({"verb": "FINISH", "tag": tag, "opts": {}, "rc": lines.NORMAL}).encode() + b"\n"
         agent = self.record.requests[tag].agent
-        self.owed.setdefault(agent, []).append((attempt, data))
+        self.repeated_releases.setdefault(agent, []).append((attempt, data))
         others = [other for other, its_agent in self.streams.items() if its_agent == agent]
         if stream in others:
             stream.write(data)
         elif others:
             others[0].write(data)
 
-    def released(self, stream: Stream, tag: str) -> None:
-        attempt = self.out.pop((stream, tag), None)
+    def handle_release(self, stream: Stream, tag: str) -> None:
+        """The agent releases an established call or gives up a pending attempt."""
+        attempt = self.pending.pop((stream, tag), None)
         if attempt is not None:
-            self.end(attempt, AttemptEnd.GIVEN_UP)
-        self.standing.pop(tag, None)
-        self.say(stream, {"verb": "FINISHED", "tag": tag})
+            self.end_attempt(attempt, AttemptEnd.GIVEN_UP)
+        self.established.pop(tag, None)
+        self.send(stream, {"verb": "FINISHED", "tag": tag})
 
-    def end(self, attempt: Attempt, end: AttemptEnd) -> None:
+    def end_attempt(self, attempt: Attempt, end: AttemptEnd) -> None:
         attempt.ended_at, attempt.end = self.kernel.now(), end
 
-    def die(self) -> None:
-        """The process ends: its connections are reset and nothing listens any more."""
+    def terminate(self) -> None:
+        """Ends the exchange: connections are reset and its listeners closed."""
         self.alive = False
         for listener in self.listeners:
             listener.close()
         for stream in list(self.streams):
             stream.abort()
-        for attempt, _ in self.standing.values():
-            attempt.cut_at = self.kernel.now()
-        self.standing.clear()
+        for attempt, _ in self.established.values():
+            attempt.exchange_ended_at = self.kernel.now()
+        self.established.clear()
 
-    def end_one(self, by_reset: bool) -> None:
-        """One connection is reset or closed under whatever is open on it."""
+    def end_random_connection(self, by_reset: bool) -> None:
+        """Resets or closes one connection while calls may be pending on it."""
         if self.streams:
-            stream = self.chance.choice(list(self.streams))
+            stream = self.rng.choice(list(self.streams))
             if by_reset:
                 stream.abort()
             else:
--- a/peattrestle/trials/feed.py
+++ b/peattrestle/trials/feed.py
@@ -12,11 +12,11 @@
 
 MS = 1_000_000
 COMMENT_INTERVAL = 1_000 * MS
-HANG = 60_000 * MS  # a call that met silence never hears more
+SILENT_DURATION = 60_000 * MS  # a connection opened during a silent outage gets nothing for so long
 
 
 class FeedState(enum.Enum):
-    """What a call to the feed meets."""
+    """How the feed treats its subscribers."""
 
     UP = "up"
     DOWN = "down"
@@ -27,46 +27,47 @@
 
 @dataclass(slots=True, frozen=True)
 class Host:
-    """One exchange as the feed tells of it; `place` is where it listens."""
+    """An exchange as the feed lists it; `address_index` selects the address on which it listens."""
 
     name: str
     number: int
-    place: int
+    address_index: int
     state: str = "SERVING"
 
-    def tree(self, dial: str) -> dict[str, Any]:
-        return {"host": self.name, "dial": dial, "block": self.number, "health": self.state, "born_ms": 0}
+    def payload(self, address: str) -> dict[str, Any]:
+        return {"host": self.name, "dial": address, "block": self.number, "health": self.state, "born_ms": 0}
 
 
 @dataclass(slots=True)
 class Event:
-    """One published event: the hosts that it tells of; `whole` where that is all of them."""
+    """A published event: the hosts that have changed, or all of them in a `snapshot`."""
 
     number: int
     hosts: list[Host]
-    whole: bool
+    snapshot: bool
 
 
 class StandInFeed:
-    """Serves every event after `Last-Event-ID`, then each new one and a comment each second."""
+    """Serves server-sent events: all after `Last-Event-ID`, then each new one and a comment each second."""
 
-    def __init__(self, kernel: Kernel, deployment: Deployment, places: int) -> None:
-        self.kernel, self.deployment, self.places = kernel, deployment, places
+    def __init__(self, kernel: Kernel, deployment: Deployment, address_count: int) -> None:
+        self.kernel, self.deployment, self.address_count = kernel, deployment, address_count
         self.events: list[Event] = []
-        self.chance = kernel.chance("feed")
+        self.rng = kernel.chance("feed")
         self.state = FeedState.UP
-        self.place = 0
+        self.address_index = 0
         self.outage_began = 0
-        self.watchers: dict[Stream, int] = {}
+        self.subscribers: dict[Stream, int] = {}
         self.agents: dict[Stream, int] = {}
         self.listeners: list[Listener] = []
         self.open()
 
     def address(self, agent: int) -> str:
-        return self.deployment.feed_address(self.place, agent)
+        """Returns the present address of the feed for one agent."""
+        return self.deployment.feed_address(self.address_index, agent)
 
     @property
-    def speaking(self) -> bool:
+    def is_speaking(self) -> bool:
         return self.state is not FeedState.SILENT
 
     def open(self) -> None:
@@ -81,96 +82,100 @@
             except Lost:
                 return
             self.agents[stream] = agent
-            self.kernel.spawn(self.serve(stream), "watcher of the feed")
+            self.kernel.spawn(self.serve(stream), "feed subscriber")
 
     def serve(self, stream: Stream) -> Coroutine[None]:
         try:
-            yield from self.converse(stream)
+            yield from self.handle_request(stream)
         except Lost:
             pass
         finally:
-            self.watchers.pop(stream, None)
+            self.subscribers.pop(stream, None)
             self.agents.pop(stream, None)
             stream.close()
 
-    def converse(self, stream: Stream) -> Coroutine[None]:
-        head = b""
-        while b"\r\n\r\n" not in head:
+    def handle_request(self, stream: Stream) -> Coroutine[None]:
+        request = b""
+        while b"\r\n\r\n" not in request:
             data = yield from stream.read()
             if not data:
                 return
-            head += data
+            request += data
         if self.state is FeedState.REFUSING:
             stream.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             return
         if self.state is FeedState.SILENT:
-            yield from self.kernel.sleep(HANG)
+            yield from self.kernel.sleep(SILENT_DURATION)
             return
         if self.state is FeedState.SLOW:
-            yield from self.kernel.sleep(self.chance.randint(300, 3_500) * MS)
-        rows = head.decode().lower().split("\r\n")
-        asked = next((row for row in rows if row.startswith("last-event-id:")), "last-event-id: 0")
-        self.watchers[stream] = int(asked.partition(":")[2])
+            yield from self.kernel.sleep(self.rng.randint(300, 3_500) * MS)
+        header_lines = request.decode().lower().split("\r\n")
+        last_event_header = next(
+            (line for line in header_lines if line.startswith("last-event-id:")), "last-event-id: 0"
+        )
+        self.subscribers[stream] = int(last_event_header.partition(":")[2])
         stream.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
-        while stream in self.watchers:
-            if self.speaking:
+        while stream in self.subscribers:
+            if self.is_speaking:
                 self.send(stream)
                 stream.write(b": alive\n\n")
             yield from self.kernel.sleep(COMMENT_INTERVAL)
-        yield from self.kernel.sleep(HANG)
+        yield from self.kernel.sleep(SILENT_DURATION)
 
     def send(self, stream: Stream) -> None:
-        last = self.watchers[stream]
+        last = self.subscribers[stream]
         for event in self.events:
             if event.number > last:
-                tree = json.dumps(self.tree(event, self.agents[stream]))
-                stream.write(f"id: {event.number}\ndata: {tree}\n\n".encode())
-                self.watchers[stream] = event.number
-
-    def tree(self, event: Event, agent: int) -> dict[str, Any]:
-        hosts = [one.tree(self.deployment.exchange_address(one.place, agent)) for one in event.hosts]
-        members = {"seq": event.number, "whole": event.whole, "hosts": hosts}
+                payload = json.dumps(self.payload(event, self.agents[stream]))
+                stream.write(f"id: {event.number}\ndata: {payload}\n\n".encode())
+                self.subscribers[stream] = event.number
+
+    def payload(self, event: Event, agent: int) -> dict[str, Any]:
+        hosts = [
+            host.payload(self.deployment.exchange_address(host.address_index, agent)) for host in event.hosts
+        ]
+        members = {"seq": event.number, "whole": event.snapshot, "hosts": hosts}
         return {"n": event.number, "members": members}
 
-    def publish(self, hosts: list[Host], whole: bool = False) -> int:
-        """The feed has one more event from now on; returns the time."""
+    def publish(self, hosts: list[Host], snapshot: bool = False) -> int:
+        """Publishes an event and returns its time in nanoseconds."""
         now = self.kernel.now()
-        self.events.append(Event(len(self.events) + 1, hosts, whole))
+        self.events.append(Event(len(self.events) + 1, hosts, snapshot))
         if self.state in (FeedState.UP, FeedState.SLOW):
-            for stream in list(self.watchers):
+            for stream in list(self.subscribers):
                 self.send(stream)
         return now
 
-    def known(self, agent: int) -> dict[str, Any]:
-        """The events up to now, as the configuration of an agent has them."""
-        return {"n": len(self.events), "events": [self.tree(event, agent) for event in self.events]}
+    def known_events(self, agent: int) -> dict[str, Any]:
+        """Returns the events up to now in the form of an agent's configuration."""
+        return {"n": len(self.events), "events": [self.payload(event, agent) for event in self.events]}
 
-    def fail(self, state: FeedState) -> None:
-        """An outage begins."""
+    def start_outage(self, state: FeedState) -> None:
+        """Puts the feed into the outage `state`."""
         self.state, self.outage_began = state, self.kernel.now()
         if state is FeedState.DOWN:
             self.close_listeners()
         if state in (FeedState.DOWN, FeedState.SLOW):
-            for stream in list(self.watchers):
+            for stream in list(self.subscribers):
                 stream.abort()
 
-    def recover(self) -> None:
-        """It can be reached again; calls that met the outage stay as they are."""
+    def end_outage(self) -> None:
+        """Makes the feed available again; connections that fell silent stay silent."""
         state, self.state = self.state, FeedState.UP
         if state is FeedState.DOWN:
             self.open()
-        for stream in list(self.watchers) if state is FeedState.SILENT else []:
-            del self.watchers[stream]  # a call that fell silent tells nothing more
+        for stream in list(self.subscribers) if state is FeedState.SILENT else []:
+            del self.subscribers[stream]  # a connection that fell silent sends nothing more
 
     def close_listeners(self) -> None:
         for listener in self.listeners:
             listener.close()
 
-    def move(self) -> None:
-        """The feed is at the next address from now on; the old one tells nothing more."""
+    def move_to_next_address(self) -> None:
+        """Moves the feed to its next address; old connections get nothing more and close after 1.5 s."""
         self.close_listeners()
-        for stream in list(self.watchers):
-            self.watchers.pop(stream)
+        for stream in list(self.subscribers):
+            self.subscribers.pop(stream)
             self.kernel.at(self.kernel.now() + 1_500 * MS, stream.close)
-        self.place = (self.place + 1) % self.places
+        self.address_index = (self.address_index + 1) % self.address_count
         self.open()
--- a/peattrestle/trials/judge.py
+++ b/peattrestle/trials/judge.py
@@ -1,4 +1,7 @@
-"""What of a record breaks a rule of the platform's pages. Bounds are the pages' own, with their slack."""
+"""Checks the record of a trial against the platform's documented rules.
+
+Bounds and tolerances are those of the documents. Times are in nanoseconds.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 from peattrestle.trials.deployment import Deployment
 from peattrestle.trials.record import (
-    AgentLife,
+    AgentRun,
     Attempt,
     AttemptEnd,
     ConnectionEnd,
@@ -17,196 +20,224 @@
 )
 
 MS = 1_000_000
-SLACK = 50 * MS  # PROTOCOL.md, "The rules on sockets"
-CROSSING = 50 * MS  # PROTOCOL.md: a set-up crossing a close within this time is sent once more
-LATE_ANSWER = 500 * MS  # FLEET.md: only later than this after its time a request is lost
-LATE_IN_SHUTDOWN = 700 * MS  # PROTOCOL.md, "Figures"
-RELEASE_WITHIN = 1_000 * MS
-RELEASE_UNSENT_WITHIN = 8_000 * MS
-READY_WITHIN = 10_000 * MS
-STOOD = 200
+TIMING_TOLERANCE = 50 * MS  # PROTOCOL.md, "The rules on sockets"
+CROSSING_WINDOW = 50 * MS  # PROTOCOL.md: a set-up that crosses a close within this time is sent again
+LATE_ANSWER_TOLERANCE = 500 * MS  # FLEET.md: a request counts as lost only this long after its timeout
+# PROTOCOL.md, "Figures": a set-up that arrives later after SIGTERM must be answered before SIGKILL.
+LATE_ARRIVAL_IN_SHUTDOWN = 700 * MS
+RELEASE_TIMEOUT = 1_000 * MS
+UNSENT_RELEASE_TIMEOUT = 8_000 * MS
+READY_TIMEOUT = 10_000 * MS
+STATUS_OK = 200
 
 
 @dataclass(slots=True, frozen=True)
-class Breach:
-    """One broken rule: its name as in the pages, when, and the evidence."""
+class Violation:
+    """A broken rule: its documented name, the time in nanoseconds, and the evidence."""
 
     rule: str
     at: int
     text: str
 
 
-class Judge:
-    """`ended_at`: when the trial stopped observing; what was still owed by then is not judged."""
+class RuleChecker:
+    """Finds the rule violations in the record of one trial.
+
+    `ended_at` is the time at which observation stopped; what was not yet due by then is not checked.
+    """
 
     def __init__(self, record: Record, deployment: Deployment, ended_at: int) -> None:
         self.record, self.deployment, self.ended_at = record, deployment, ended_at
-        self.slack = SLACK + record.observer_lag
-        self.crossing = CROSSING + record.observer_lag
+        self.tolerance = TIMING_TOLERANCE + record.observer_lag
+        self.crossing_window = CROSSING_WINDOW + record.observer_lag
         self.attempts: dict[str, list[Attempt]] = defaultdict(list)
         for attempt in record.attempts:
             self.attempts[attempt.call_id].append(attempt)
-        self.lives: dict[int, list[AgentLife]] = defaultdict(list)
-        for life in record.lives:
-            self.lives[life.agent].append(life)
+        self.agent_runs: dict[int, list[AgentRun]] = defaultdict(list)
+        for run in record.agent_runs:
+            self.agent_runs[run.agent].append(run)
 
-    def breaches(self) -> list[Breach]:
-        found: list[Breach] = []
+    def violations(self) -> list[Violation]:
+        """Returns the violations of all rules, ordered by time."""
+        violations: list[Violation] = []
         for request in self.record.requests.values():
-            found += self.answers(request)
-            found += self.one_attempt_at_a_time(request)
-        found += self.departures()
-        found += self.releases()
-        found += self.agents()
-        found += [
-            Breach("abusive", 0, f"no answer in 3 s to {data}") for data in self.record.abusive_unanswered
+            violations += self.check_answers(request)
+            violations += self.check_overlapping_attempts(request)
+        violations += self.check_departures()
+        violations += self.check_releases()
+        violations += self.check_agents()
+        violations += [
+            Violation("abusive", 0, f"no answer in 3 s to {data}") for data in self.record.abusive_unanswered
         ]
-        found += [Breach("unsolicited", 0, text) for text in self.record.unsolicited]
-        return sorted(found, key=lambda breach: breach.at)
+        violations += [Violation("unsolicited", 0, text) for text in self.record.unsolicited]
+        return sorted(violations, key=lambda violation: violation.at)
 
     # Answers.
 
-    def life_at(self, agent: int, at: int) -> AgentLife | None:
-        lives = self.lives[agent]
-        place = bisect.bisect_right([life.started_at for life in lives], at) - 1
-        return lives[place] if place >= 0 else None
+    def run_at(self, agent: int, at: int) -> AgentRun | None:
+        """Returns the last run of `agent` that had started by `at`, None if there was none."""
+        agent_runs = self.agent_runs[agent]
+        index = bisect.bisect_right([run.started_at for run in agent_runs], at) - 1
+        return agent_runs[index] if index >= 0 else None
 
-    def answers(self, request: Request) -> list[Breach]:
-        found = []
+    def check_answers(self, request: Request) -> list[Violation]:
+        """A request gets one final answer, in time, and a 200 carries a description that an exchange sent."""
+        violations = []
         if len(request.answers) > 1:
             statuses = [answer.status for answer in request.answers]
-            found.append(Breach("lost", request.answers[1].at, f"{request.call_id}: answers {statuses}"))
+            violations.append(
+                Violation("lost", request.answers[1].at, f"{request.call_id}: answers {statuses}")
+            )
         for answer in request.answers:
-            if answer.status == STOOD and answer.description not in self.made_for(request):
-                found.append(
-                    Breach("lost", answer.at, f"{request.call_id}: stood with a foreign description")
+            if answer.status == STATUS_OK and answer.description not in self.offered_descriptions(request):
+                violations.append(
+                    Violation(
+                        "lost",
+                        answer.at,
+                        f"{request.call_id}: answered 200 with a description that no exchange sent for it",
+                    )
                 )
         if request.sent_at and not request.given_up_at:
-            found += self.owed(request)
-        return found
+            violations += self.check_first_answer(request)
+        return violations
 
-    def made_for(self, request: Request) -> set[str]:
+    def offered_descriptions(self, request: Request) -> set[str]:
         return {attempt.description for attempt in self.attempts[request.call_id] if attempt.description}
 
-    def owed(self, request: Request) -> list[Breach]:
-        due = request.sent_at + request.patience + LATE_ANSWER + self.record.observer_lag
+    def check_first_answer(self, request: Request) -> list[Violation]:
+        """The final answer is due shortly after the request's timeout, unless the connection excuses it."""
+        due = request.sent_at + request.answer_timeout + LATE_ANSWER_TOLERANCE + self.record.observer_lag
         if request.answers:
             answer = request.answers[0]
-            return [self.lost(request, answer.at, "answered too late")] if answer.at > due else []
+            return [self.lost_request(request, answer.at, "answered too late")] if answer.at > due else []
         connection = request.connection
-        life = self.life_at(request.agent, request.sent_at)
+        run = self.run_at(request.agent, request.sent_at)
         if connection.end is ConnectionEnd.OPEN:
-            return [self.lost(request, due, "no answer")] if self.ended_at > due else []
+            return [self.lost_request(request, due, "no answer")] if self.ended_at > due else []
         if connection.end in (ConnectionEnd.CALLER, ConnectionEnd.INJECTED):
             return []
-        if life is not None and life.killed_at and connection.ended_at >= life.killed_at:
-            return self.found_by_kill(request, life)
+        if run is not None and run.killed_at and connection.ended_at >= run.killed_at:
+            return self.check_open_at_kill(request, run)
         if connection.ended_at > due:
-            return [self.lost(request, due, "no answer")]
+            return [self.lost_request(request, due, "no answer")]
         if request.first_on_connection and not connection.received:
             return []
-        crossed = connection.ended_at - request.sent_at <= self.crossing
+        crossed = connection.ended_at - request.sent_at <= self.crossing_window
         if crossed and not self.attempts[request.call_id]:
             return []
-        why = f"connection {connection.end.value} {(connection.ended_at - request.sent_at) // MS} ms after it"
-        return [self.lost(request, connection.ended_at, why)]
+        reason = f"connection {connection.end.value} {(connection.ended_at - request.sent_at) // MS} ms later"
+        return [self.lost_request(request, connection.ended_at, reason)]
 
-    def found_by_kill(self, request: Request, life: AgentLife) -> list[Breach]:
-        if life.killed_without_warning:
+    def check_open_at_kill(self, request: Request, run: AgentRun) -> list[Violation]:
+        """Checks a request that was unanswered when its agent got SIGKILL."""
+        if run.killed_without_warning:
             return []
-        since = request.sent_at - life.terminated_at
-        if since > LATE_IN_SHUTDOWN:
+        arrived_after = request.sent_at - run.terminated_at
+        if arrived_after > LATE_ARRIVAL_IN_SHUTDOWN:
             return [
-                self.lost(request, life.killed_at, f"came {since // MS} ms after SIGTERM, open at SIGKILL")
+                self.lost_request(
+                    request, run.killed_at, f"arrived {arrived_after // MS} ms after SIGTERM, open at SIGKILL"
+                )
             ]
-        if life.killed_at > request.sent_at + request.patience + LATE_ANSWER:
-            return [self.lost(request, life.killed_at, "no answer before SIGKILL")]
+        if run.killed_at > request.sent_at + request.answer_timeout + LATE_ANSWER_TOLERANCE:
+            return [self.lost_request(request, run.killed_at, "no answer before SIGKILL")]
         return []
 
-    def lost(self, request: Request, at: int, why: str) -> Breach:
-        tried = [f"{one.exchange} {one.end.value}" for one in self.attempts[request.call_id]]
-        return Breach("lost", at, f"{request.call_id} at n{request.agent}: {why}; attempts {tried}")
+    def lost_request(self, request: Request, at: int, reason: str) -> Violation:
+        attempts = [f"{attempt.exchange} {attempt.end.value}" for attempt in self.attempts[request.call_id]]
+        return Violation("lost", at, f"{request.call_id} at n{request.agent}: {reason}; attempts {attempts}")
 
     # Attempts.
 
-    def one_attempt_at_a_time(self, request: Request) -> list[Breach]:
-        found = []
-        attempts = sorted(self.attempts[request.call_id], key=lambda one: one.arrived_at)
-        for before, after in zip(attempts, attempts[1:], strict=False):
-            if before.end is AttemptEnd.STARTED and before.ended_at <= after.arrived_at - self.slack:
-                continue  # its answer may have been lost or spoilt on its way
-            if before.end is AttemptEnd.REFUSED:
+    def check_overlapping_attempts(self, request: Request) -> list[Violation]:
+        """A call is attempted at one exchange at a time.
+
+        After an attempt whose outcome is unknown the next one waits for the release time.
+        """
+        violations = []
+        attempts = sorted(self.attempts[request.call_id], key=lambda attempt: attempt.arrived_at)
+        for earlier, later in zip(attempts, attempts[1:], strict=False):
+            if earlier.end is AttemptEnd.STARTED and earlier.ended_at <= later.arrived_at - self.tolerance:
+                continue  # its answer may have been lost or corrupted in transit
+            if earlier.end is AttemptEnd.REFUSED:
                 continue
-            ended = before.ended_at or self.ended_at
-            if ended > after.arrived_at + self.slack:
-                text = f"{request.call_id}: out at {before.exchange} and {after.exchange}"
-                found.append(Breach("duplicate", after.arrived_at, text))
-            elif before.end in (AttemptEnd.GIVEN_UP, AttemptEnd.CUT):
-                wait = self.deployment.release_time - self.slack
-                waited = after.arrived_at - ended
+            ended = earlier.ended_at or self.ended_at
+            if ended > later.arrived_at + self.tolerance:
+                text = f"{request.call_id}: pending at {earlier.exchange} and {later.exchange}"
+                violations.append(Violation("duplicate", later.arrived_at, text))
+            elif earlier.end in (AttemptEnd.GIVEN_UP, AttemptEnd.CONNECTION_ENDED):
+                wait = self.deployment.release_time - self.tolerance
+                waited = later.arrived_at - ended
                 if waited < wait:
-                    text = f"{request.call_id}: sent to {after.exchange} {waited // MS} ms on"
-                    found.append(Breach("release time", after.arrived_at, text))
-        return found
+                    text = f"{request.call_id}: retried at {later.exchange} only {waited // MS} ms later"
+                    violations.append(Violation("release time", later.arrived_at, text))
+        return violations
 
-    def departures(self) -> list[Breach]:
-        found = []
+    def check_departures(self) -> list[Violation]:
+        """No set-up is sent to a leaving exchange once the drain grace is over."""
+        violations = []
         for attempt in self.record.attempts:
-            leaving = self.record.departures.get(attempt.exchange)
-            if leaving is None:
+            departure = self.record.departures.get(attempt.exchange)
+            if departure is None:
                 continue
-            latest = leaving.told_at + self.deployment.drain_grace + self.slack
+            latest = departure.notified_at + self.deployment.drain_grace + self.tolerance
             if attempt.arrived_at > latest:
-                late = (attempt.arrived_at - leaving.told_at) // MS
-                text = f"{attempt.call_id} at {attempt.exchange}, told {late} ms before"
-                found.append(Breach("drain", attempt.arrived_at, text))
-        return found
+                late = (attempt.arrived_at - departure.notified_at) // MS
+                text = f"{attempt.call_id} at {attempt.exchange}, {late} ms after notice of its departure"
+                violations.append(Violation("drain", attempt.arrived_at, text))
+        return violations
 
-    # Standing calls.
+    # Established calls.
 
-    def releases(self) -> list[Breach]:
-        found = []
+    def check_releases(self) -> list[Violation]:
+        """A call that its exchange ends is released to its caller in time."""
+        violations = []
         for attempt in self.record.attempts:
             request = self.record.requests[attempt.call_id]
-            over_at = attempt.released_at or attempt.cut_at
-            stood = bool(request.answers) and request.answers[0].status == STOOD
-            if not over_at or not stood or request.release_sent_at or request.given_up_at:
+            ended_at = attempt.released_at or attempt.exchange_ended_at
+            established = bool(request.answers) and request.answers[0].status == STATUS_OK
+            if not ended_at or not established or request.release_sent_at or request.given_up_at:
                 continue
             if attempt.description != request.answers[0].description:
                 continue
-            due = over_at + self.release_bound(attempt, request) + self.slack
-            if self.ended_at < due or not self.in_service(request.agent, request.answers[0].at, due):
+            due = ended_at + self.release_timeout(attempt, request) + self.tolerance
+            if self.ended_at < due or not self.served_throughout(request.agent, request.answers[0].at, due):
                 continue
             if not request.released_at or request.released_at > due:
-                text = f"{request.call_id}: over at {attempt.exchange}, not released to its caller in time"
-                found.append(Breach("lost", due, text))
-        return found
-
-    def release_bound(self, attempt: Attempt, request: Request) -> int:
-        heard = attempt.released_at and request.connection.end is ConnectionEnd.OPEN
-        return RELEASE_WITHIN if heard else RELEASE_UNSENT_WITHIN
-
-    def in_service(self, agent: int, begin: int, end: int) -> bool:
-        """One and the same run of the agent was there from `begin` to `end`, and no shutdown had begun."""
-        life = self.life_at(agent, begin)
-        if life is None or life is not self.life_at(agent, end):
+                text = f"{request.call_id}: ended at {attempt.exchange}, not released to its caller in time"
+                violations.append(Violation("lost", due, text))
+        return violations
+
+    def release_timeout(self, attempt: Attempt, request: Request) -> int:
+        """Returns the time in which the caller gets the release.
+
+        It is longer if the exchange died without releasing the call or the caller's connection has ended.
+        """
+        deliverable = attempt.released_at and request.connection.end is ConnectionEnd.OPEN
+        return RELEASE_TIMEOUT if deliverable else UNSENT_RELEASE_TIMEOUT
+
+    def served_throughout(self, agent: int, begin: int, end: int) -> bool:
+        """Whether one run of the agent lasted from `begin` to `end` without a shutdown beginning."""
+        run = self.run_at(agent, begin)
+        if run is None or run is not self.run_at(agent, end):
             return False
-        ends = [at for at in (life.terminated_at, life.ended_at) if at]
+        ends = [at for at in (run.terminated_at, run.ended_at) if at]
         return not ends or min(ends) >= end
 
     # Agents.
 
-    def agents(self) -> list[Breach]:
-        found = []
-        for life in self.record.lives:
-            name = f"n{life.agent}"
-            undisturbed = not life.terminated_at and not life.killed_at
-            if undisturbed and not life.ready_at and self.ended_at - life.started_at > READY_WITHIN:
-                found.append(Breach("ready", life.started_at, f"{name} not ready in 10 s"))
-            failed = life.terminated_at and not life.killed_at and life.exit_code != 0
-            if life.ended_at and (undisturbed or failed):
-                found.append(Breach("crash", life.ended_at, f"{name} ended with code {life.exit_code}"))
-            found += [
-                Breach("internal error", life.started_at, f"{name}: {text}") for text in life.internal_errors
+    def check_agents(self) -> list[Violation]:
+        """Agents become ready in time, end only on a signal, and log no internal error."""
+        violations = []
+        for run in self.record.agent_runs:
+            name = f"n{run.agent}"
+            unsignalled = not run.terminated_at and not run.killed_at
+            if unsignalled and not run.ready_at and self.ended_at - run.started_at > READY_TIMEOUT:
+                violations.append(Violation("ready", run.started_at, f"{name} not ready in 10 s"))
+            failed = run.terminated_at and not run.killed_at and run.exit_code != 0
+            if run.ended_at and (unsignalled or failed):
+                violations.append(Violation("crash", run.ended_at, f"{name} ended with code {run.exit_code}"))
+            violations += [
+                Violation("internal error", run.started_at, f"{name}: {text}") for text in run.internal_errors
             ]
-        return found
+        return violations
--- a/peattrestle/trials/process.py
+++ b/peattrestle/trials/process.py
@@ -1,4 +1,4 @@
-"""The call agent under trial as a process of its own: started, signalled, killed, its log read."""
+"""Runs the call agent under trial as a process: starts, signals and kills it, and reads its log."""
 
 from __future__ import annotations
 
@@ -12,52 +12,53 @@
 from typing import IO
 
 from peattrestle.runtime import Coroutine, Kernel, Lost, Refused
-from peattrestle.trials.caller import bare
+from peattrestle.trials.caller import bodyless_request
 from peattrestle.trials.deployment import Deployment
-from peattrestle.trials.record import AgentLife, Record
+from peattrestle.trials.record import AgentRun, Record
 
 MS = 1_000_000
-POLL = 5 * MS
-READY_WITHIN = 10_000 * MS
-DEBUG_LINES = 5_000  # a second: the whole life of each call is wanted
-DIAL = 500 * MS
+POLL_INTERVAL = 5 * MS
+READY_TIMEOUT = 10_000 * MS
+DEBUG_LINES_PER_SECOND = 5_000  # high enough to log every step of each call
+CONNECT_TIMEOUT = 500 * MS
 
 
 class AgentProcess:
-    """One call agent; `life` is its present or last run. `wrap` starts the program differently, for tests."""
+    """One call agent; `current_run` is its present or last run."""
 
     def __init__(
-        self, kernel: Kernel, record: Record, deployment: Deployment, agent: int, folder: Path
+        self, kernel: Kernel, record: Record, deployment: Deployment, agent: int, directory: Path
     ) -> None:
         self.kernel, self.record, self.deployment, self.agent = kernel, record, deployment, agent
-        self.configuration = folder / f"n{agent}.json"
-        self.log_path = folder / f"n{agent}.log"
+        self.configuration_path = directory / f"n{agent}.json"
+        self.log_path = directory / f"n{agent}.log"
         self.log: IO[bytes] | None = None
         self.process: subprocess.Popen[bytes] | None = None
-        self.life = AgentLife(agent, 0)
+        self.current_run = AgentRun(agent, 0)
 
     @property
     def running(self) -> bool:
+        """Whether the process exists and has not ended."""
         return self.process is not None and self.process.poll() is None
 
     @property
     def in_service(self) -> bool:
-        """Ready, and neither told to end nor killed."""
-        life = self.life
-        return self.running and bool(life.ready_at) and not life.terminated_at and not life.killed_at
+        """Whether the agent is ready and got neither SIGTERM nor SIGKILL."""
+        run = self.current_run
+        return self.running and bool(run.ready_at) and not run.terminated_at and not run.killed_at
 
     def start(self) -> None:
-        """Raises OSError where no process can be started."""
-        limit = self.deployment.sockets
+        """Starts a run. Raises OSError if no process can be started."""
+        limit = self.deployment.socket_limit
 
-        def limits() -> None:
+        def set_socket_limit() -> None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 
         self.log = self.log_path.open("ab")
         environment = os.environ | {
-            "LB_CONFIG": str(self.configuration),
+            "LB_CONFIG": str(self.configuration_path),
             "LB_NAME": f"n{self.agent}",
-            "PEATTRESTLE_DEBUG_LINES": str(DEBUG_LINES),
+            "PEATTRESTLE_DEBUG_LINES": str(DEBUG_LINES_PER_SECOND),
         }
         self.process = subprocess.Popen(
             [sys.executable, "-m", "peattrestle.platform"],
@@ -65,35 +66,39 @@
             stdin=subprocess.DEVNULL,
             stdout=self.log,
             stderr=self.log,
-            preexec_fn=limits,
+            preexec_fn=set_socket_limit,
         )
-        self.life = AgentLife(self.agent, self.kernel.now())
-        self.record.lives.append(self.life)
-        self.kernel.spawn(self.watch(self.process, self.life), "agent process")
+        self.current_run = AgentRun(self.agent, self.kernel.now())
+        self.record.agent_runs.append(self.current_run)
+        self.kernel.spawn(self.watch(self.process, self.current_run), "agent process")
 
-    def watch(self, process: subprocess.Popen[bytes], life: AgentLife) -> Coroutine[None]:
+    def watch(self, process: subprocess.Popen[bytes], run: AgentRun) -> Coroutine[None]:
+        """Waits for the process to end and records its exit code."""
         while process.poll() is None:
-            yield from self.kernel.sleep(POLL)
-        life.ended_at, life.exit_code = self.kernel.now(), process.returncode
-        self.record.note(life.ended_at, f"n{self.agent} ended with code {process.returncode}")
-
-    def until_ready(self) -> Coroutine[bool]:
-        """Whether the readiness test passed within 10 s."""
-        until = self.kernel.now() + READY_WITHIN
-        while self.kernel.now() < until and self.running:
-            if (yield from self.passes_test()):
-                self.life.ready_at = self.kernel.now()
-                self.record.note(self.life.ready_at, f"n{self.agent} ready")
+            yield from self.kernel.sleep(POLL_INTERVAL)
+        run.ended_at, run.exit_code = self.kernel.now(), process.returncode
+        self.record.add_event(run.ended_at, f"n{self.agent} ended with code {process.returncode}")
+
+    def wait_until_ready(self) -> Coroutine[bool]:
+        """Returns whether the agent passed its readiness test within 10 s."""
+        deadline = self.kernel.now() + READY_TIMEOUT
+        while self.kernel.now() < deadline and self.running:
+            if (yield from self.answers_options()):
+                self.current_run.ready_at = self.kernel.now()
+                self.record.add_event(self.current_run.ready_at, f"n{self.agent} ready")
                 return True
             yield from self.kernel.sleep(20 * MS)
         return False
 
-    def passes_test(self) -> Coroutine[bool]:
+    def answers_options(self) -> Coroutine[bool]:
+        """Returns whether the agent answers OPTIONS with 200."""
         try:
-            stream = yield from self.kernel.connect(self.deployment.agent_address(self.agent), DIAL)
+            stream = yield from self.kernel.connect(
+                self.deployment.agent_address(self.agent), CONNECT_TIMEOUT
+            )
         except Refused:
             return False
-        stream.write(bare("OPTIONS", "ping"))
+        stream.write(bodyless_request("OPTIONS", "ping"))
         try:
             data = yield from stream.read()
         except Lost:
@@ -101,40 +106,42 @@
         stream.close()
         return data.startswith(b"SIP/2.0 200")
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         if self.process is not None and self.process.poll() is None:
-            self.process.send_signal(number)
-            self.record.note(self.kernel.now(), f"n{self.agent}: {number.name}")
+            self.process.send_signal(signal_number)
+            self.record.add_event(self.kernel.now(), f"n{self.agent}: {signal_number.name}")
 
     def terminate(self) -> None:
-        """SIGTERM now, SIGKILL at the earliest moment that the pages allow."""
-        self.life.terminated_at = self.kernel.now()
-        self.signal(signal.SIGTERM)
+        """Sends SIGTERM and records its time; SIGKILL is due `Deployment.kill_delay` later."""
+        self.current_run.terminated_at = self.kernel.now()
+        self.send_signal(signal.SIGTERM)
 
     def kill_if_running(self) -> None:
+        """Sends SIGKILL and records its time."""
         if self.running:
-            self.life.killed_at = self.kernel.now()
-            self.signal(signal.SIGKILL)
+            self.current_run.killed_at = self.kernel.now()
+            self.send_signal(signal.SIGKILL)
 
     def kill_without_warning(self) -> None:
-        self.life.killed_without_warning = True
+        """Sends SIGKILL to simulate a crash."""
+        self.current_run.killed_without_warning = True
         self.kill_if_running()
 
-    def errors(self) -> list[str]:
-        """What the log has at level error, and whatever in it is no log line."""
-        found = []
+    def error_lines(self) -> list[str]:
+        """Returns the log lines at level error, and lines that are no log entries."""
+        lines = []
         for line in self.log_path.read_text(errors="replace").splitlines():
             try:
                 entry = json.loads(line)
             except ValueError:
-                found.append(line)
+                lines.append(line)
                 continue
             if entry.get("level") == "error":
-                found.append(line)
-        return found
+                lines.append(line)
+        return lines
 
     def close(self) -> None:
-        """Ends the process where it still runs."""
+        """Kills the process if it still runs and closes its log."""
         if self.process is not None:
             if self.process.poll() is None:
                 self.process.kill()
--- a/peattrestle/trials/record.py
+++ b/peattrestle/trials/record.py
@@ -1,4 +1,7 @@
-"""What a trial observes: set-ups, attempts at exchanges, runs of agents. Times in ns of the kernel."""
+"""What a trial observes: set-ups, attempts at exchanges, runs of agents.
+
+Times are those of the kernel, in nanoseconds.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,11 @@
 class AttemptEnd(enum.Enum):
     """How one attempt ended at an exchange."""
 
-    OUT = "out"
+    PENDING = "pending"
     STARTED = "started"
     REFUSED = "refused"
     GIVEN_UP = "given up"
-    CUT = "connection ended"
+    CONNECTION_ENDED = "connection ended"
 
 
 @dataclass(slots=True)
@@ -40,7 +43,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """One final answer to a set-up."""
+    """A final answer to a set-up; `description` is the body of a 200."""
 
     at: int
     status: int
@@ -49,13 +52,16 @@
 
 @dataclass(slots=True)
 class Request:
-    """One set-up: `sent_at` is the time of its last byte, 0 while it is being written."""
+    """One set-up as its caller sees it. A time of 0 means: not yet.
+
+    `answer_timeout` is how long the caller waits for the final answer, `sent_at` the time of the last byte.
+    """
 
     call_id: str
     agent: int
     connection: CallerConnection
     first_on_connection: bool
-    patience: int
+    answer_timeout: int
     sent_at: int = 0
     given_up_at: int = 0
     released_at: int = 0
@@ -67,22 +73,23 @@
 class Attempt:
     """One set-up as an exchange saw it.
 
-    `released_at`: when the exchange last said that the call is over; `cut_at`: when it died with it standing.
+    `released_at` is when the exchange last sent a release of the call, `exchange_ended_at` when it died while
+    the call was established.
     """
 
     call_id: str
     exchange: str
     arrived_at: int
     ended_at: int = 0
-    end: AttemptEnd = AttemptEnd.OUT
+    end: AttemptEnd = AttemptEnd.PENDING
     description: str = ""
     released_at: int = 0
-    cut_at: int = 0
+    exchange_ended_at: int = 0
 
 
 @dataclass(slots=True)
-class AgentLife:
-    """One run of an agent process, from its start to its end."""
+class AgentRun:
+    """One run of an agent process, from its start to its end; a time of 0 means: not yet."""
 
     agent: int
     started_at: int
@@ -96,28 +103,28 @@
 
 
 @dataclass(slots=True)
-class Membership:
-    """When an exchange began to leave, and by when the agents count as told."""
+class Departure:
+    """When an exchange began to leave, and by when the agents count as notified."""
 
     exchange: str
     leaving_at: int
-    told_at: int
-    gone: bool = False
+    notified_at: int
+    removed: bool = False
 
 
 @dataclass(slots=True)
 class Record:
-    """All that one trial has observed."""
+    """Everything that one trial has observed; `events` are the lines of its timeline."""
 
     requests: dict[str, Request] = field(default_factory=dict)
     attempts: list[Attempt] = field(default_factory=list)
-    lives: list[AgentLife] = field(default_factory=list)
-    departures: dict[str, Membership] = field(default_factory=dict)
+    agent_runs: list[AgentRun] = field(default_factory=list)
+    departures: dict[str, Departure] = field(default_factory=dict)
     abusive_unanswered: list[str] = field(default_factory=list)
     unsolicited: list[str] = field(default_factory=list)
-    notes: list[tuple[int, str]] = field(default_factory=list)
-    observer_lag: int = 0  # by how much the stand-ins were late at most: what they saw may be so much older
+    events: list[tuple[int, str]] = field(default_factory=list)
+    observer_lag: int = 0  # largest scheduling delay of the stand-ins; observed times may be late by as much
 
-    def note(self, at: int, text: str) -> None:
-        """An event of the trial itself, for the timeline."""
-        self.notes.append((at, text))
+    def add_event(self, at: int, text: str) -> None:
+        """Adds an event of the trial itself to the timeline."""
+        self.events.append((at, text))
--- a/peattrestle/trials/soak.py
+++ b/peattrestle/trials/soak.py
@@ -1,4 +1,4 @@
-"""Many drawn trials: played in processes of their own, each judged, with one line for each seed."""
+"""Soak test: runs many random trials in parallel processes and checks each one."""
 
 from __future__ import annotations
 
@@ -10,59 +10,67 @@
 from pathlib import Path
 
 from peattrestle.trials.draw import Trial
-from peattrestle.trials.judge import Breach
+from peattrestle.trials.judge import Violation
 
 MS = 1_000_000
-CROWD_EVERY = 5
+BURST_SEED_INTERVAL = 5
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What one seed gave. `folder` has the agents' logs where a rule was broken."""
+class TrialResult:
+    """The result of one trial; `directory` holds the agents' logs if it failed.
+
+    `established` counts set-ups answered with 200, `error` is what kept the trial from running to its end.
+    """
 
     seed: int
     requests: int = 0
-    stood: int = 0
+    established: int = 0
     attempts: int = 0
     observer_lag: int = 0
     troubles: list[str] = field(default_factory=list)
-    breaches: list[Breach] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     timeline: list[str] = field(default_factory=list)
-    folder: str = ""
-    fault: str = ""
+    directory: str = ""
+    error: str = ""
 
     @property
     def passed(self) -> bool:
-        return not self.breaches and not self.fault
+        """Whether the trial ran to its end and broke no rule."""
+        return not self.violations and not self.error
 
 
-def play_one(seed: int) -> Outcome:
-    """A trial that can't be played has failed like one that breaks a rule."""
-    folder = Path(tempfile.mkdtemp(prefix=f"trial-{seed}-"))
-    trial = Trial(seed, folder, crowd=seed % CROWD_EVERY == 0)
-    outcome = Outcome(seed, troubles=[one.name for one in trial.plan])
+def run_trial(seed: int) -> TrialResult:
+    """Runs and checks one trial. One that raises an exception counts as failed."""
+    directory = Path(tempfile.mkdtemp(prefix=f"trial-{seed}-"))
+    trial = Trial(seed, directory, in_bursts=seed % BURST_SEED_INTERVAL == 0)
+    result = TrialResult(seed, troubles=[planned.name for planned in trial.plan])
     try:
-        trial.play()
-        outcome.breaches = trial.world.verdict()
-    except Exception as fault:
-        outcome.fault = repr(fault)
+        trial.run()
+        result.violations = trial.environment.check_rules()
+    except Exception as error:
+        result.error = repr(error)
     finally:
-        trial.world.close()
-    record = trial.world.record
-    began = record.lives[0].started_at if record.lives else 0
-    outcome.observer_lag = record.observer_lag
-    outcome.requests, outcome.attempts = len(record.requests), len(record.attempts)
-    outcome.stood = sum(1 for one in record.requests.values() if one.answers and one.answers[0].status == 200)
-    if outcome.passed:
-        shutil.rmtree(folder)
-        return outcome
-    outcome.folder = str(folder)
-    events = record.notes + [(one.at, f"BREACH {one.rule}: {one.text}") for one in outcome.breaches]
-    outcome.timeline = [f"{(at - began) / 1000 / MS:8.3f} {text}" for at, text in sorted(events)]
-    return outcome
+        trial.environment.close()
+    record = trial.environment.record
+    started_at = record.agent_runs[0].started_at if record.agent_runs else 0
+    result.observer_lag = record.observer_lag
+    result.requests, result.attempts = len(record.requests), len(record.attempts)
+    result.established = sum(
+        1 for request in record.requests.values() if request.answers and request.answers[0].status == 200
+    )
+    if result.passed:
+        shutil.rmtree(directory)
+        return result
+    result.directory = str(directory)
+    events = record.events + [
+        (violation.at, f"VIOLATION {violation.rule}: {violation.text}") for violation in result.violations
+    ]
+    result.timeline = [f"{(at - started_at) / 1000 / MS:8.3f} {text}" for at, text in sorted(events)]
+    return result
 
 
-def play_many(seeds: Iterable[int], jobs: int) -> Iterator[Outcome]:
-    """In the order of the seeds."""
+def run_trials(seeds: Iterable[int], jobs: int) -> Iterator[TrialResult]:
+    """Runs up to `jobs` trials at the same time and yields the results in the order of the seeds."""
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(play_one, seeds)
+        yield from pool.map(run_trial, seeds)
--- a/peattrestle/trials/world.py
+++ b/peattrestle/trials/world.py
@@ -1,4 +1,4 @@
-"""All parties of one trial on one kernel, agents as processes, and the steps that scripts are made of."""
+"""The environment of one trial: stand-ins on one kernel, agent processes, and the steps of trial scripts."""
 
 from __future__ import annotations
 
@@ -10,78 +10,97 @@
 
 from peattrestle.runtime import Coroutine
 from peattrestle.runtime.epoll import EpollKernel
-from peattrestle.trials.caller import CallerGroup, Habits
+from peattrestle.trials.caller import CallerBehaviour, CallerGroup
 from peattrestle.trials.deployment import Deployment
 from peattrestle.trials.exchange import StandInExchange
 from peattrestle.trials.feed import FeedState, Host, StandInFeed
-from peattrestle.trials.judge import Breach, Judge
+from peattrestle.trials.judge import RuleChecker, Violation
 from peattrestle.trials.process import AgentProcess
-from peattrestle.trials.record import Membership, Record
+from peattrestle.trials.record import Departure, Record
 
 MS = 1_000_000
-TOLD_AFTER_SILENCE = 4_000 * MS
-TOLD_AFTER_OUTAGE = 6_000 * MS
-TOLD_AFTER_MOVE = 4_000 * MS
+# By when the agents count as notified of a change of the feed.
+SILENCE_DETECTION_TIME = 4_000 * MS
+RECONNECT_TIME = 6_000 * MS
+FEED_MOVE_TIME = 4_000 * MS
 NEVER = 3_600_000 * MS
-NEW_CONNECTIONS_FOR = 400 * MS  # after SIGTERM
+NEW_CONNECTIONS_WINDOW = 400 * MS  # after SIGTERM callers open new connections for this long
 RESTART_DELAY = 300 * MS
-FEED_PLACES = 3
-LAG_INTERVAL = 5 * MS
+FEED_ADDRESS_COUNT = 3
+LAG_SAMPLE_INTERVAL = 5 * MS
 
 
 def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as probe:
-        return int(probe.getsockname()[1])
+    """Returns a TCP port that is free on loopback. Raises OSError."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        return int(listener.getsockname()[1])
 
 
-class World:
-    """`seed` draws what the stand-ins do; agents are started by `start` and ended by `close`."""
+class TrialEnvironment:
+    """The stand-ins and agent processes of one trial. `seed` seeds the stand-ins' random behaviour.
 
-    def __init__(self, deployment: Deployment, folder: Path, seed: int, habits: Habits | None = None) -> None:
-        self.deployment, self.folder, self.seed = deployment, folder, seed
+    Agents are started by `start_agent` and ended by `close`.
+    """
+
+    def __init__(
+        self,
+        deployment: Deployment,
+        directory: Path,
+        seed: int,
+        caller_behaviour: CallerBehaviour | None = None,
+    ) -> None:
+        self.deployment, self.directory, self.seed = deployment, directory, seed
         self.kernel = EpollKernel(seed)
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.record = Record()
-        self.feed = StandInFeed(self.kernel, deployment, FEED_PLACES)
+        self.feed = StandInFeed(self.kernel, deployment, FEED_ADDRESS_COUNT)
         self.exchanges: dict[str, StandInExchange] = {}
         self.hosts: dict[str, Host] = {}
-        self.names = 0
-        self.settled_at = 0  # until then agents may still be on their way back to the feed
+        self.exchange_counter = 0
+        self.feed_reconnected_by = 0  # until then agents may not have reconnected to the feed
         for number in range(deployment.exchanges):
             self.open_exchange(number, number)
-        self.feed.publish(list(self.hosts.values()), whole=True)
+        self.feed.publish(list(self.hosts.values()), snapshot=True)
         self.kernel.spawn(self.measure_lag(), "lag")
         self.agents = [
-            AgentProcess(self.kernel, self.record, deployment, agent, folder)
+            AgentProcess(self.kernel, self.record, deployment, agent, directory)
             for agent in range(deployment.agents)
         ]
-        habits = habits or Habits()
+        caller_behaviour = caller_behaviour or CallerBehaviour()
         self.callers = [
             CallerGroup(
-                self.kernel, self.record, deployment, agent, habits, self.generator(f"callers {agent}")
+                self.kernel,
+                self.record,
+                deployment,
+                agent,
+                caller_behaviour,
+                self.random_generator(f"callers {agent}"),
             )
             for agent in range(deployment.agents)
         ]
 
-    def generator(self, purpose: str) -> random.Random:
+    def random_generator(self, purpose: str) -> random.Random:
+        """Returns a generator with a random sequence of its own for each purpose."""
         return random.Random(f"{self.seed}/{purpose}")
 
     # Time.
 
     def measure_lag(self) -> Coroutine[None]:
+        """Records the largest delay with which the kernel wakes the stand-ins."""
         while True:
-            due = self.kernel.now() + LAG_INTERVAL
-            yield from self.kernel.sleep(LAG_INTERVAL)
+            due = self.kernel.now() + LAG_SAMPLE_INTERVAL
+            yield from self.kernel.sleep(LAG_SAMPLE_INTERVAL)
             self.record.observer_lag = max(self.record.observer_lag, self.kernel.now() - due)
 
-    def run(self, length: int) -> None:
-        self.kernel.run(self.kernel.now() + length)
+    def run(self, duration: int) -> None:
+        """Runs the kernel for `duration` nanoseconds."""
+        self.kernel.run(self.kernel.now() + duration)
 
-    def play(self, script: Coroutine[None], most: int) -> bool:
-        """Runs a script to its end; False where it took longer than `most`."""
+    def run_script(self, script: Coroutine[None], timeout: int) -> bool:
+        """Runs a script to its end; returns False after `timeout`. Raises what the script raises."""
         task = self.kernel.spawn(script, "script")
-        until = self.kernel.now() + most
-        while not task.done and self.kernel.now() < until:
+        deadline = self.kernel.now() + timeout
+        while not task.done and self.kernel.now() < deadline:
             self.run(20 * MS)
         if task.error is not None:
             raise task.error
@@ -89,144 +108,164 @@
 
     # Exchanges.
 
-    def open_exchange(self, number: int, place: int) -> StandInExchange:
-        name = f"s{number}-{self.names}"
-        self.names += 1
+    def open_exchange(self, number: int, address_index: int) -> StandInExchange:
+        """Opens an exchange under a name that was not used before."""
+        name = f"s{number}-{self.exchange_counter}"
+        self.exchange_counter += 1
         agents = range(self.deployment.agents)
-        addresses = [self.deployment.exchange_address(place, agent) for agent in agents]
+        addresses = [self.deployment.exchange_address(address_index, agent) for agent in agents]
         exchange = StandInExchange(
-            self.kernel, self.record, name, addresses, self.generator(name), self.deployment.holding
+            self.kernel,
+            self.record,
+            name,
+            addresses,
+            self.random_generator(name),
+            self.deployment.holding_time,
         )
         self.exchanges[name] = exchange
-        self.hosts[name] = Host(name, number, place)
+        self.hosts[name] = Host(name, number, address_index)
         return exchange
 
-    def told_by(self, at: int) -> int:
-        """By when a change that the feed has at `at` counts as told, as things stand now."""
+    def notified_by(self, at: int) -> int:
+        """Returns by when agents count as notified of a change that is published at `at`."""
         match self.feed.state:
             case FeedState.UP:
-                return max(at, self.settled_at)
+                return max(at, self.feed_reconnected_by)
             case FeedState.SILENT:
-                return max(at, self.feed.outage_began + TOLD_AFTER_SILENCE) + TOLD_AFTER_OUTAGE
+                return max(at, self.feed.outage_began + SILENCE_DETECTION_TIME) + RECONNECT_TIME
             case _:
-                return at + NEVER  # set anew when the feed is back
+                return at + NEVER  # replaced when the feed is back
 
-    def drain(self, name: str) -> None:
-        """The exchange begins to leave; it goes on serving."""
+    def drain_exchange(self, name: str) -> None:
+        """Announces that the exchange leaves; it continues to serve."""
         host = self.hosts[name] = replace(self.hosts[name], state="DRAINING")
         at = self.feed.publish([host])
-        self.record.departures[name] = Membership(name, at, self.told_by(at))
-        self.record.note(at, f"{name} drains")
+        self.record.departures[name] = Departure(name, at, self.notified_by(at))
+        self.record.add_event(at, f"{name} drains")
 
-    def remove(self, name: str) -> None:
-        """The exchange is gone from the list, and its process ends."""
+    def remove_exchange(self, name: str) -> None:
+        """Removes the exchange from the feed and ends its process."""
         host = replace(self.hosts.pop(name), state="DELETED")
         at = self.feed.publish([host])
-        self.record.departures.setdefault(name, Membership(name, at, self.told_by(at)))
-        self.exchanges.pop(name).die()
-        self.record.note(at, f"{name} is gone")
+        self.record.departures.setdefault(name, Departure(name, at, self.notified_by(at)))
+        self.exchanges.pop(name).terminate()
+        self.record.add_event(at, f"{name} removed")
 
-    def replace(self, name: str) -> None:
-        """Its process dies; another exchange, warm and of the same number, takes its address."""
+    def replace_exchange(self, name: str) -> None:
+        """Removes an exchange; a new one with the same number, ready at once, takes over its address."""
         host = self.hosts[name]
-        self.remove(name)
-        fresh = self.open_exchange(host.number, host.place)
-        self.feed.publish([self.hosts[fresh.name]])
+        self.remove_exchange(name)
+        replacement = self.open_exchange(host.number, host.address_index)
+        self.feed.publish([self.hosts[replacement.name]])
 
     # The feed.
 
-    def fail_feed(self, state: FeedState) -> None:
-        self.feed.fail(state)
-        self.record.note(self.kernel.now(), f"feed {state.value}")
+    def start_feed_outage(self, state: FeedState) -> None:
+        """Puts the feed into the outage `state`."""
+        self.feed.start_outage(state)
+        self.record.add_event(self.kernel.now(), f"feed {state.value}")
 
-    def recover_feed(self) -> None:
-        self.feed.recover()
+    def end_feed_outage(self) -> None:
+        """Makes the feed available and sets the notification times of departures during the outage."""
+        self.feed.end_outage()
         now = self.kernel.now()
-        self.settled_at = now + TOLD_AFTER_OUTAGE
-        self.record.note(now, "feed up")
-        for leaving in self.record.departures.values():
-            if leaving.leaving_at >= self.feed.outage_began:
-                leaving.told_at = min(leaving.told_at, self.settled_at)
+        self.feed_reconnected_by = now + RECONNECT_TIME
+        self.record.add_event(now, "feed up")
+        for departure in self.record.departures.values():
+            if departure.leaving_at >= self.feed.outage_began:
+                departure.notified_at = min(departure.notified_at, self.feed_reconnected_by)
 
     def move_feed(self) -> None:
-        """A new configuration names another address of the feed; every agent gets SIGHUP."""
-        self.feed.move()
+        """Moves the feed to another address, updates the configurations and sends SIGHUP to the agents."""
+        self.feed.move_to_next_address()
         now = self.kernel.now()
-        self.record.note(now, f"feed moves to {self.feed.address(0)}")
-        moved = now + TOLD_AFTER_MOVE
-        self.settled_at = min(self.settled_at, moved) if self.settled_at > now else moved
+        self.record.add_event(now, f"feed moves to {self.feed.address(0)}")
+        notified_by_move = now + FEED_MOVE_TIME
+        self.feed_reconnected_by = (
+            min(self.feed_reconnected_by, notified_by_move)
+            if self.feed_reconnected_by > now
+            else notified_by_move
+        )
         for agent in self.agents:
             self.write_configuration(agent.agent)
-            if agent.running and agent.life.ready_at:
-                agent.signal(signal.SIGHUP)
+            if agent.running and agent.current_run.ready_at:
+                agent.send_signal(signal.SIGHUP)
 
     # Agents.
 
     def write_configuration(self, agent: int) -> None:
+        """Writes the configuration file of one agent with the present feed address and events."""
         self.deployment.write_configuration(
-            self.agents[agent].configuration,
+            self.agents[agent].configuration_path,
             agent,
             self.seed * 1000 + agent,
-            self.feed.known(agent),
+            self.feed.known_events(agent),
             self.feed.address(agent),
         )
 
-    def bring_up(self, agent: int) -> Coroutine[None]:
-        """Starts an agent and lets its callers come once it is ready."""
+    def start_agent(self, agent: int) -> Coroutine[None]:
+        """Starts an agent and its callers once it is ready."""
         process, callers = self.agents[agent], self.callers[agent]
         self.write_configuration(agent)
         process.start()
-        if (yield from process.until_ready()):
-            callers.sending = callers.dialling = True
+        if (yield from process.wait_until_ready()):
+            callers.sending = callers.opens_connections = True
 
-    def bring_up_all(self) -> Coroutine[None]:
-        tasks = [self.kernel.spawn(self.bring_up(agent), "start") for agent in range(self.deployment.agents)]
+    def start_all_agents(self) -> Coroutine[None]:
+        """Starts all agents at the same time and waits until each is ready or has failed to start."""
+        tasks = [
+            self.kernel.spawn(self.start_agent(agent), "start") for agent in range(self.deployment.agents)
+        ]
         for task in tasks:
             yield from task.join()
 
     def planned_restart(self, agent: int, start_again: bool = True) -> Coroutine[None]:
-        """SIGTERM, callers on open connections until SIGKILL at its earliest, then a new start."""
+        """Restarts an agent: SIGTERM, SIGKILL at the earliest allowed time, and a new start.
+
+        Until SIGKILL its callers keep sending on open connections.
+        """
         process, callers = self.agents[agent], self.callers[agent]
         if not process.in_service:
             return
-        life = process.life
+        run = process.current_run
         process.terminate()
-        kill_at = process.life.terminated_at + self.deployment.kill_after
-        yield from self.kernel.sleep(NEW_CONNECTIONS_FOR)
-        callers.dialling = False
+        kill_at = process.current_run.terminated_at + self.deployment.kill_delay
+        yield from self.kernel.sleep(NEW_CONNECTIONS_WINDOW)
+        callers.opens_connections = False
         while self.kernel.now() < kill_at:
             yield from self.kernel.sleep(min(5 * MS, kill_at - self.kernel.now()))
-        if process.life is not life:
+        if process.current_run is not run:
             return  # it crashed meanwhile and was started again
         process.kill_if_running()
         callers.sending = False
         yield from self.kernel.sleep(RESTART_DELAY)
         if start_again:
-            yield from self.bring_up(agent)
+            yield from self.start_agent(agent)
 
-    def crash(self, agent: int) -> Coroutine[None]:
-        """An agent is killed outright and started again."""
+    def crash_agent(self, agent: int) -> Coroutine[None]:
+        """Sends SIGKILL to an agent without a SIGTERM and starts it again."""
         process, callers = self.agents[agent], self.callers[agent]
         if not process.in_service:
             return
         process.kill_without_warning()
-        callers.sending = callers.dialling = False
+        callers.sending = callers.opens_connections = False
         yield from self.kernel.sleep(RESTART_DELAY)
-        yield from self.bring_up(agent)
+        yield from self.start_agent(agent)
 
-    # The end.
+    # End of the trial.
 
-    def quiet(self) -> None:
+    def stop_callers(self) -> None:
+        """Callers send no more set-ups and open no more connections."""
         for callers in self.callers:
-            callers.sending = callers.dialling = False
+            callers.sending = callers.opens_connections = False
 
-    def verdict(self) -> list[Breach]:
-        """Judges all that has been observed until now."""
+    def check_rules(self) -> list[Violation]:
+        """Returns the violations observed until now. Raises RuntimeError if a stand-in failed."""
         for process in self.agents:
-            process.life.internal_errors = process.errors() if process.log is not None else []
+            process.current_run.internal_errors = process.error_lines() if process.log is not None else []
         if self.kernel.crashes:
             raise RuntimeError(f"a stand-in failed: {self.kernel.crashes[:3]}")
-        return Judge(self.record, self.deployment, self.kernel.now()).breaches()
+        return RuleChecker(self.record, self.deployment, self.kernel.now()).violations()
 
     def close(self) -> None:
         """Ends every process and connection of the trial."""
--- a/tests/trials/test_drawn.py
+++ b/tests/trials/test_drawn.py
@@ -1,15 +1,19 @@
-"""A few drawn trials of real agent processes; `python -m peattrestle.trials --seeds N` plays one again."""
+"""A few random trials of real agent processes; `python -m peattrestle.trials --seeds N` repeats one."""
 
 from __future__ import annotations
 
-from peattrestle.trials.soak import play_many
+from peattrestle.trials.soak import run_trials
 
-SEEDS = (2, 6, 11, 28, 33, 41)  # long and short deadlines, every trouble among them
+SEEDS = (2, 6, 11, 28, 33, 41)  # long and short deadlines; together they contain every trouble
 JOBS = 3
 
 
 def test_drawn_trials_break_no_rule() -> None:
-    outcomes = list(play_many(SEEDS, JOBS))
-    found = [f"seed {one.seed}: {one.fault or one.breaches[:3]}" for one in outcomes if not one.passed]
-    assert found == []
-    assert all(one.stood for one in outcomes)
+    results = list(run_trials(SEEDS, JOBS))
+    failures = [
+        f"seed {result.seed}: {result.error or result.violations[:3]}"
+        for result in results
+        if not result.passed
+    ]
+    assert failures == []
+    assert all(result.established for result in results)
--- a/tests/trials/test_judge.py
+++ b/tests/trials/test_judge.py
@@ -1,31 +1,31 @@
-"""Each check of the judge fails on a record that breaks its rule, and passes on an allowed one."""
+"""Each rule check reports a record that breaks its rule and accepts an allowed one."""
 
 from __future__ import annotations
 
 import pytest
 
 from peattrestle.trials.deployment import Deployment
-from peattrestle.trials.judge import Judge
+from peattrestle.trials.judge import RuleChecker
 from peattrestle.trials.record import (
-    AgentLife,
+    AgentRun,
     Answer,
     Attempt,
     AttemptEnd,
     CallerConnection,
     ConnectionEnd,
-    Membership,
+    Departure,
     Record,
     Request,
 )
 
 MS = 1_000_000
-START, SENT, END = 1_000 * MS, 5_000 * MS, 60_000 * MS
-CALL = "00000000000000e1"
+STARTED_AT, SENT_AT, OBSERVED_UNTIL = 1_000 * MS, 5_000 * MS, 60_000 * MS
+CALL_ID = "00000000000000e1"
 DESCRIPTION = "77aa\r\n"
 DEPLOYMENT = Deployment(agents=1, deadline=1_000 * MS)
 
 
-def record(
+def make_record(
     answers: list[Answer] | None = None,
     attempts: list[Attempt] | None = None,
     end: ConnectionEnd = ConnectionEnd.OPEN,
@@ -34,102 +34,106 @@
     given_up_at: int = 0,
     released_at: int = 0,
 ) -> Record:
-    """One request at one agent, sent at 5 s with 1 s of time."""
-    connection = CallerConnection(0, START, requests=1, received=received, ended_at=ended_at, end=end)
-    one = Request(CALL, 0, connection, True, 1_000 * MS, SENT, given_up_at, released_at)
-    one.answers = answers or []
-    made = Record(requests={CALL: one}, attempts=attempts or [])
-    made.lives.append(AgentLife(0, START, ready_at=START + 1))
-    return made
+    """Returns a record with one request to one agent, sent at 5 s with a timeout of 1 s."""
+    connection = CallerConnection(0, STARTED_AT, requests=1, received=received, ended_at=ended_at, end=end)
+    request = Request(CALL_ID, 0, connection, True, 1_000 * MS, SENT_AT, given_up_at, released_at)
+    request.answers = answers or []
+    record = Record(requests={CALL_ID: request}, attempts=attempts or [])
+    record.agent_runs.append(AgentRun(0, STARTED_AT, ready_at=STARTED_AT + 1))
+    return record
 
 
-def rules(made: Record) -> list[str]:
-    return [breach.rule for breach in Judge(made, DEPLOYMENT, END).breaches()]
+def broken_rules(record: Record) -> list[str]:
+    return [violation.rule for violation in RuleChecker(record, DEPLOYMENT, OBSERVED_UNTIL).violations()]
 
 
-def refused(at: int) -> Answer:
+def refusal(at: int) -> Answer:
     return Answer(at, 503, "")
 
 
-def attempt(exchange: str, arrived: int, ended: int, end: AttemptEnd, **more: int) -> Attempt:
-    return Attempt(CALL, exchange, SENT + arrived * MS, SENT + ended * MS, end, DESCRIPTION, **more)
+def make_attempt(exchange: str, arrived_ms: int, ended_ms: int, end: AttemptEnd, **times: int) -> Attempt:
+    return Attempt(
+        CALL_ID, exchange, SENT_AT + arrived_ms * MS, SENT_AT + ended_ms * MS, end, DESCRIPTION, **times
+    )
 
 
-STOOD = Answer(SENT + 60 * MS, 200, DESCRIPTION)
-STARTED = attempt("s1", 1, 50, AttemptEnd.STARTED)
+ACCEPTED = Answer(SENT_AT + 60 * MS, 200, DESCRIPTION)
+STARTED_ATTEMPT = make_attempt("s1", 1, 50, AttemptEnd.STARTED)
 
 
 @pytest.mark.parametrize(
-    ("made", "broken"),
+    ("record", "broken"),
     [
-        (record([refused(SENT + 1_400 * MS)]), []),
-        (record([refused(SENT + 1_600 * MS)]), ["lost"]),
-        (record(), ["lost"]),
-        (record(given_up_at=SENT + MS), []),
-        (record([refused(SENT + MS), refused(SENT + 2 * MS)]), ["lost"]),
-        (record([STOOD], [STARTED]), []),
-        (record([STOOD]), ["lost"]),
-        (record(end=ConnectionEnd.AGENT_CLOSED, ended_at=SENT + 40 * MS), []),
-        (record(end=ConnectionEnd.AGENT_CLOSED, ended_at=SENT + 60 * MS), ["lost"]),
-        (record(end=ConnectionEnd.AGENT_CLOSED, ended_at=SENT + 60 * MS, received=0), []),
-        (record(None, [STARTED], ConnectionEnd.AGENT_RESET, SENT + 40 * MS), ["lost"]),
-        (record(end=ConnectionEnd.INJECTED, ended_at=SENT + 60 * MS), []),
+        (make_record([refusal(SENT_AT + 1_400 * MS)]), []),
+        (make_record([refusal(SENT_AT + 1_600 * MS)]), ["lost"]),
+        (make_record(), ["lost"]),
+        (make_record(given_up_at=SENT_AT + MS), []),
+        (make_record([refusal(SENT_AT + MS), refusal(SENT_AT + 2 * MS)]), ["lost"]),
+        (make_record([ACCEPTED], [STARTED_ATTEMPT]), []),
+        (make_record([ACCEPTED]), ["lost"]),
+        (make_record(end=ConnectionEnd.AGENT_CLOSED, ended_at=SENT_AT + 40 * MS), []),
+        (make_record(end=ConnectionEnd.AGENT_CLOSED, ended_at=SENT_AT + 60 * MS), ["lost"]),
+        (make_record(end=ConnectionEnd.AGENT_CLOSED, ended_at=SENT_AT + 60 * MS, received=0), []),
+        (make_record(None, [STARTED_ATTEMPT], ConnectionEnd.AGENT_RESET, SENT_AT + 40 * MS), ["lost"]),
+        (make_record(end=ConnectionEnd.INJECTED, ended_at=SENT_AT + 60 * MS), []),
     ],
 )
-def test_final_answers(made: Record, broken: list[str]) -> None:
-    assert rules(made) == broken
+def test_final_answers(record: Record, broken: list[str]) -> None:
+    assert broken_rules(record) == broken
 
 
 @pytest.mark.parametrize(("after_sigterm", "broken"), [(690, []), (710, ["lost"])])
-def test_what_a_kill_finds_open_is_lost_if_it_came_late(after_sigterm: int, broken: list[str]) -> None:
-    made = record(end=ConnectionEnd.AGENT_RESET, ended_at=SENT + 990 * MS)
-    made.lives[0].terminated_at = SENT - after_sigterm * MS
-    made.lives[0].killed_at = made.lives[0].ended_at = SENT + 990 * MS
-    assert rules(made) == broken
+def test_request_open_at_sigkill_is_lost_if_it_arrived_late(after_sigterm: int, broken: list[str]) -> None:
+    record = make_record(end=ConnectionEnd.AGENT_RESET, ended_at=SENT_AT + 990 * MS)
+    record.agent_runs[0].terminated_at = SENT_AT - after_sigterm * MS
+    record.agent_runs[0].killed_at = record.agent_runs[0].ended_at = SENT_AT + 990 * MS
+    assert broken_rules(record) == broken
 
 
 @pytest.mark.parametrize(
     ("first", "second_at", "broken"),
     [
-        (attempt("s1", 1, 100, AttemptEnd.GIVEN_UP), 260, []),
-        (attempt("s1", 1, 100, AttemptEnd.GIVEN_UP), 150, ["release time"]),
-        (attempt("s1", 1, 400, AttemptEnd.GIVEN_UP), 150, ["duplicate"]),
-        (attempt("s1", 1, 100, AttemptEnd.REFUSED), 110, []),
+        (make_attempt("s1", 1, 100, AttemptEnd.GIVEN_UP), 260, []),
+        (make_attempt("s1", 1, 100, AttemptEnd.GIVEN_UP), 150, ["release time"]),
+        (make_attempt("s1", 1, 400, AttemptEnd.GIVEN_UP), 150, ["duplicate"]),
+        (make_attempt("s1", 1, 100, AttemptEnd.REFUSED), 110, []),
     ],
 )
-def test_one_attempt_at_a_time(first: Attempt, second_at: int, broken: list[str]) -> None:
-    second = attempt("s2", second_at, second_at + 5, AttemptEnd.REFUSED)
-    assert rules(record([refused(SENT + 500 * MS)], [first, second])) == broken
+def test_attempts_of_a_call_do_not_overlap(first: Attempt, second_at: int, broken: list[str]) -> None:
+    second = make_attempt("s2", second_at, second_at + 5, AttemptEnd.REFUSED)
+    assert broken_rules(make_record([refusal(SENT_AT + 500 * MS)], [first, second])) == broken
 
 
-@pytest.mark.parametrize(("told_before", "broken"), [(1_040, []), (1_060, ["drain"])])
-def test_nothing_is_sent_to_a_leaving_exchange_past_the_grace(told_before: int, broken: list[str]) -> None:
-    made = record([STOOD], [STARTED])
-    told_at = STARTED.arrived_at - told_before * MS
-    made.departures["s1"] = Membership("s1", told_at, told_at)
-    assert rules(made) == broken
+@pytest.mark.parametrize(("notified_ms_before", "broken"), [(1_040, []), (1_060, ["drain"])])
+def test_no_set_up_is_sent_to_a_leaving_exchange_after_the_drain_grace(
+    notified_ms_before: int, broken: list[str]
+) -> None:
+    record = make_record([ACCEPTED], [STARTED_ATTEMPT])
+    notified_at = STARTED_ATTEMPT.arrived_at - notified_ms_before * MS
+    record.departures["s1"] = Departure("s1", notified_at, notified_at)
+    assert broken_rules(record) == broken
 
 
 @pytest.mark.parametrize(
-    ("over", "released_after", "broken"),
+    ("call_end", "released_after", "broken"),
     [
-        ({"released_at": SENT + 2_000 * MS}, 900, []),
-        ({"released_at": SENT + 2_000 * MS}, 1_200, ["lost"]),
-        ({"cut_at": SENT + 2_000 * MS}, 7_000, []),
-        ({"cut_at": SENT + 2_000 * MS}, 8_200, ["lost"]),
+        ({"released_at": SENT_AT + 2_000 * MS}, 900, []),
+        ({"released_at": SENT_AT + 2_000 * MS}, 1_200, ["lost"]),
+        ({"exchange_ended_at": SENT_AT + 2_000 * MS}, 7_000, []),
+        ({"exchange_ended_at": SENT_AT + 2_000 * MS}, 8_200, ["lost"]),
     ],
 )
-def test_standing_calls_are_released_in_time(
-    over: dict[str, int], released_after: int, broken: list[str]
+def test_established_calls_are_released_in_time(
+    call_end: dict[str, int], released_after: int, broken: list[str]
 ) -> None:
-    stood = attempt("s1", 1, 50, AttemptEnd.STARTED, **over)
-    made = record([STOOD], [stood], released_at=SENT + (2_000 + released_after) * MS)
-    assert rules(made) == broken
+    attempt = make_attempt("s1", 1, 50, AttemptEnd.STARTED, **call_end)
+    record = make_record([ACCEPTED], [attempt], released_at=SENT_AT + (2_000 + released_after) * MS)
+    assert broken_rules(record) == broken
 
 
-def test_an_agent_that_ends_by_itself_or_never_gets_ready_is_found() -> None:
-    made = record([refused(SENT + MS)])
-    made.lives[0].ended_at = END - MS
-    assert rules(made) == ["crash"]
-    made.lives[0].ended_at = made.lives[0].ready_at = 0
-    assert rules(made) == ["ready"]
+def test_agent_that_ends_unexpectedly_or_never_becomes_ready_is_reported() -> None:
+    record = make_record([refusal(SENT_AT + MS)])
+    record.agent_runs[0].ended_at = OBSERVED_UNTIL - MS
+    assert broken_rules(record) == ["crash"]
+    record.agent_runs[0].ended_at = record.agent_runs[0].ready_at = 0
+    assert broken_rules(record) == ["ready"]
