--- a/peattrestle/trials/world.py
+++ b/peattrestle/trials/environment.py
@@ -14,9 +14,9 @@
 from peattrestle.trials.deployment import Deployment
 from peattrestle.trials.exchange import StandInExchange
 from peattrestle.trials.feed import FeedState, Host, StandInFeed
-from peattrestle.trials.judge import RuleChecker, Violation
 from peattrestle.trials.process import AgentProcess
 from peattrestle.trials.record import Departure, Record
+from peattrestle.trials.rule_checker import RuleChecker, Violation
 
 MS = 1_000_000
 # By when the agents count as notified of a change of the feed.
--- a/peattrestle/trials/draw.py
+++ b/peattrestle/trials/random_trial.py
@@ -10,9 +10,9 @@
 from peattrestle.runtime import Coroutine
 from peattrestle.trials.caller import ABUSIVE_INPUTS, AbusiveCaller, CallerBehaviour
 from peattrestle.trials.deployment import Deployment
+from peattrestle.trials.environment import TrialEnvironment, free_port
 from peattrestle.trials.exchange import Behaviour, StandInExchange
 from peattrestle.trials.feed import FeedState
-from peattrestle.trials.world import TrialEnvironment, free_port
 
 MS = 1_000_000
 SECOND = 1_000 * MS
--- a/peattrestle/trials/soak.py
+++ b/peattrestle/trials/soak.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from peattrestle.trials.draw import Trial
-from peattrestle.trials.judge import Violation
+from peattrestle.trials.random_trial import Trial
+from peattrestle.trials.rule_checker import Violation
 
 MS = 1_000_000
 BURST_SEED_INTERVAL = 5
--- a/tests/trials/test_judge.py
+++ b/tests/trials/test_rule_checker.py
@@ -5,7 +5,6 @@
 import pytest
 
 from peattrestle.trials.deployment import Deployment
-from peattrestle.trials.judge import RuleChecker
 from peattrestle.trials.record import (
     AgentRun,
     Answer,
@@ -17,6 +16,7 @@
     Record,
     Request,
 )
+from peattrestle.trials.rule_checker import RuleChecker
 
 MS = 1_000_000
 STARTED_AT, SENT_AT, OBSERVED_UNTIL = 1_000 * MS, 5_000 * MS, 60_000 * MS
--- a/tests/trials/test_shutdown.py
+++ b/tests/trials/test_shutdown.py
@@ -9,8 +9,8 @@
 
 from peattrestle.trials.caller import CallerBehaviour
 from peattrestle.trials.deployment import Deployment
+from peattrestle.trials.environment import TrialEnvironment, free_port
 from peattrestle.trials.exchange import Behaviour
-from peattrestle.trials.world import TrialEnvironment, free_port
 
 MS = 1_000_000
 TIME_IN_SERVICE = 1_000 * MS
