--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -1,15 +1,15 @@
-"""The storm parts side by side, on the virtual kernel, the same seeds for each, with error bars.
+"""Compares variants of the retry storm control on the virtual kernel, on the same seeds, with error bars.
 
-    python benchmarks/storms.py sides     [--seeds 20]   ours, off (one fixed time), no advice, own waits
-    python benchmarks/storms.py parts     [--seeds 20]   each part taken out alone
-    python benchmarks/storms.py guards    [--seeds 20]   what parts guard that earn nothing in the main case
-    python benchmarks/storms.py quiet     [--seeds 20]   days without trouble, off and ours
+    python benchmarks/storms.py sides     [--seeds 20]   all parts, off (one fixed wait), no advice, own waits
+    python benchmarks/storms.py parts     [--seeds 20]   each part disabled alone
+    python benchmarks/storms.py guards    [--seeds 20]   parts that bring no revenue in the main case
+    python benchmarks/storms.py quiet     [--seeds 20]   runs without trouble, off and all parts
     python benchmarks/storms.py seeds SCRIPT [--seeds 20]  one script with its own checks
     python benchmarks/storms.py size      [--exchanges 60]  600 calls a second for a minute
     python benchmarks/storms.py report SCRIPT FOLDER [--variant off]  one run's report, for `peattrestle plot`
     python benchmarks/storms.py cost                     microseconds for each event, by gateways and calls
 
-A part is taken out by putting something idle in its place, here and nowhere in the program.
+A part is disabled by replacing its function with one that does nothing, in this file only.
 """
 
 from __future__ import annotations
@@ -38,48 +38,57 @@
 SECOND = 1_000_000_000
 
 
-# Parts, each as it is without.
+# Each function disables one part of the control in this process.
 
 
 def without_fresh_first() -> None:
-    def worth(self: Any, asked: api.CallArrived, seen: Any) -> float:
+    """First tries get no priority over retries."""
+
+    def revenue_only(self: Any, asked: api.CallArrived, seen: Any) -> float:
         return float(self.revenue.get(asked.bearer_type, 1.0) / self.mean_revenue)
 
-    control.Home.worth = worth  # type: ignore[method-assign]
+    control.Home.worth = revenue_only  # type: ignore[method-assign]
 
 
 def without_slots() -> None:
-    def come_back(self: Any, asked: Any, seen: Any, most: int) -> int:
+    """Refused callers all get the same wait, a third of the answer target."""
+
+    def fixed_wait(self: Any, asked: Any, seen: Any, most: int) -> int:
         return int(self.target // 3)
 
-    control.Home.come_back = come_back  # type: ignore[method-assign]
+    control.Home.come_back = fixed_wait  # type: ignore[method-assign]
 
 
 def without_door() -> None:
+    """Gateways are not held to their shares."""
     shares.Demand.divide = lambda self, now, share: None  # type: ignore[method-assign]
 
 
 def without_notices() -> None:
+    """Gateways are not notified of their limits."""
     shares.Door.notices = lambda self: {}  # type: ignore[method-assign]
 
 
 def without_gate() -> None:
+    """Gateways may register and restart at any rate."""
     agent_storms.Storms.restart_after = lambda self, asker: 0  # type: ignore[method-assign]
     agent_storms.Storms.waiting_delay = lambda self, known: 0  # type: ignore[method-assign]
 
 
 def without_slow_start() -> None:
-    told = control.Exchange.told
+    """The agent's own exchange gets an unlimited window as soon as it is listed."""
+    original = control.Exchange.told
 
-    def at_once(self: Any, entry: api.Entry) -> None:
-        told(self, entry)
+    def open_window(self: Any, entry: api.Entry) -> None:
+        original(self, entry)
         if self.number == self.home.own_number and not self.out:
             self.window = float("inf")
 
-    control.Exchange.told = at_once  # type: ignore[method-assign]
+    control.Exchange.told = open_window  # type: ignore[method-assign]
 
 
 def without_budget() -> None:
+    """Each first route try allows a whole further one, not only a share of it."""
     control.Home.FURTHER = 1.0
 
 
@@ -95,21 +104,23 @@
 
 
 def off() -> None:
+    """Disables all parts; refused callers get one fixed wait."""
     for part in PARTS.values():
         part()
 
 
 def no_advice() -> None:
+    """Disables all parts; refusals tell callers no wait."""
     off()
     control.Home.come_back = lambda self, asked, seen, most: 0  # type: ignore[method-assign]
 
 
-def at_callers() -> None:
-    """Nothing at the agents but refusals without advice; callers wait by themselves, doubling, drawn."""
+def waits_at_callers() -> None:
+    """Agents refuse without advice; callers back off by themselves, exponentially and with jitter."""
     no_advice()
     from peattrestle.standin import callers
 
-    def redial(self: Any, sale: Any, come_back: int) -> None:
+    def back_off(self: Any, sale: Any, come_back: int) -> None:
         habits = self.traffic.habits
         if sale.tries > habits.redials or self.closing:
             return
@@ -120,52 +131,68 @@
                 sale.tries += 1
             self.kernel.at(now + wait, lambda: None if self.closing else self.dial(sale, sale.cut))
 
-    callers.Gateway.redial = redial  # type: ignore[method-assign]
+    callers.Gateway.redial = back_off  # type: ignore[method-assign]
 
 
-VARIANTS = {"off": off, "no advice": no_advice, "waits at callers": at_callers} | {
+VARIANTS = {"off": off, "no advice": no_advice, "waits at callers": waits_at_callers} | {
     f"without {name}": part for name, part in PARTS.items()
 }
 
 
 def load(path: str) -> scripts.Script:
-    read, faults = scripts.load(path)
-    if read is None:
-        raise click.ClickException("; ".join(str(fault) for fault in faults))
-    return read
+    """Reads a script. Raises ClickException with the errors and their places."""
+    script, errors = scripts.load(path)
+    if script is None:
+        raise click.ClickException("; ".join(str(error) for error in errors))
+    return script
 
 
 def play(job: tuple[str, scripts.Script]) -> dict[str, float]:
+    """Plays a script with a variant and returns its measurements by label.
+
+    "most hellos/s" is the peak rate of gateway registrations for each exchange, "beside" the service of the
+    gateways that share their number with one that floods.
+    """
     variant, script = job
     if variant in VARIANTS:
         VARIANTS[variant]()
     started = time.perf_counter()
     player = Player(script, "virtual")
     result = player.play()
-    out = figures(script, result) | {"took": time.perf_counter() - started}
-    hellos: dict[int, int] = {}
+    measured = measurements(script, result) | {"took": time.perf_counter() - started}
+    registrations: dict[int, int] = {}
     for gateway in player.world.gateways:
         for at in gateway.greetings:
             if at > player.started:
-                hellos[at // SECOND] = hellos.get(at // SECOND, 0) + 1
-    out["most hellos/s"] = float(max(hellos.values(), default=0)) / script.fleet.exchanges
+                registrations[at // SECOND] = registrations.get(at // SECOND, 0) + 1
+    measured["most hellos/s"] = float(max(registrations.values(), default=0)) / script.fleet.exchanges
     if any(gateway.flooded for gateway in player.world.gateways):
-        first = player.started + min(one.at for one in script.trouble)
-        until = player.started + max(one.at + one.length for one in script.trouble)
-        hit = {gateway.number for gateway in player.world.gateways if gateway.flooded}
-        beside = [one for one in player.world.gateways if one.number in hit and not one.flooded]
-        served = service(beside, first, until)
-        out["beside"] = served.earned / served.offered
-    return out
-
-
-def figures(script: scripts.Script, result: Result) -> dict[str, float]:
+        first = player.started + min(trouble.at for trouble in script.trouble)
+        until = player.started + max(trouble.at + trouble.length for trouble in script.trouble)
+        flooded_numbers = {gateway.number for gateway in player.world.gateways if gateway.flooded}
+        neighbours = [
+            gateway
+            for gateway in player.world.gateways
+            if gateway.number in flooded_numbers and not gateway.flooded
+        ]
+        served = service(neighbours, first, until)
+        measured["beside"] = served.earned / served.offered
+    return measured
+
+
+def measurements(script: scripts.Script, result: Result) -> dict[str, float]:
+    """Returns what one run gave, by label.
+
+    "pressed" is the peak load of the worst exchange relative to its capacity, "useful" the mean share of
+    useful work. "before", "10 s after" and "later" are the service around the trouble, "back s" the seconds
+    until service is at 95% of "before".
+    """
     series, seconds = result.series, script.length // SECOND
-    rules = sum(one.broken for one in result.verdicts)
-    out = {
+    rules_broken = sum(verdict.broken for verdict in result.verdicts)
+    measured = {
         "service": result.service,
-        "rules broken": float(rules),
-        "checks failed": float(sum(not one.passed for one in result.checks)),
+        "rules broken": float(rules_broken),
+        "checks failed": float(sum(not check.passed for check in result.checks)),
         "dials": float(sum(series.dials)),
         "most dials/s": float(max(series.dials)),
         "pressed": max(series.pressed),
@@ -173,27 +200,27 @@
         "useful": sum(series.useful) / len(series.useful),
     }
     if script.trouble:
-        first = min(one.at for one in script.trouble) // SECOND
-        healed = -(-max(one.at + one.length for one in script.trouble) // SECOND)
+        first = min(trouble.at for trouble in script.trouble) // SECOND
+        ended = -(-max(trouble.at + trouble.length for trouble in script.trouble) // SECOND)
         before = series.over(max(0, first - 10), first)
-        back = series.back_after(before, 0.95, healed, 5)
-        out |= {
+        recovery = series.back_after(before, 0.95, ended, 5)
+        measured |= {
             "before": before,
-            "10 s after": series.over(healed, min(seconds, healed + 10)),
-            "later": series.over(min(seconds, healed + 10), seconds),
-            "back s": float(back if back >= 0 else seconds - healed),
+            "10 s after": series.over(ended, min(seconds, ended + 10)),
+            "later": series.over(min(seconds, ended + 10), seconds),
+            "back s": float(recovery if recovery >= 0 else seconds - ended),
         }
-    return out
+    return measured
 
 
-def many(jobs: list[tuple[str, scripts.Script]]) -> list[dict[str, float]]:
-    """A process for each: what a variant takes out stays out in it."""
+def play_all(jobs: list[tuple[str, scripts.Script]]) -> list[dict[str, float]]:
+    """Plays each job in a process of its own, as a variant changes the process for good."""
     with ProcessPoolExecutor(os.cpu_count() or 1, max_tasks_per_child=1) as pool:
         return list(pool.map(play, jobs))
 
 
-def bar(values: list[float]) -> str:
-    """Mean and half a 95% interval by Student's t; assumes means near to normal."""
+def mean_with_interval(values: list[float]) -> str:
+    """Returns the mean and half the 95% confidence interval by Student's t; assumes roughly normal means."""
     mean = statistics.mean(values)
     if len(values) < 2:
         return f"{mean:.3f}"
@@ -202,17 +229,20 @@
 
 
 def side_by_side(script: scripts.Script, variants: list[str], seeds: int, rows: list[str]) -> None:
-    jobs = [(one, replace(script, seed=seed)) for one in variants for seed in range(1, seeds + 1)]
-    played = many(jobs)
-    by = {one: played[at * seeds : (at + 1) * seeds] for at, one in enumerate(variants)}
+    """Prints a line for each variant, with its difference in service from "ours" on the same seeds."""
+    jobs = [(variant, replace(script, seed=seed)) for variant in variants for seed in range(1, seeds + 1)]
+    played = play_all(jobs)
+    by_variant = {
+        variant: played[index * seeds : (index + 1) * seeds] for index, variant in enumerate(variants)
+    }
     click.echo(f"\n{script.title}: {seeds} seeds")
     click.echo("| variant | " + " | ".join(rows) + " | service less ours, paired |")
     click.echo("|" + " --- |" * (len(rows) + 2))
-    for one, results in by.items():
-        cells = [bar([result[row] for result in results]) for row in rows]
-        pairs = zip(results, by["ours"], strict=True)
-        paired = bar([mine["service"] - ours["service"] for mine, ours in pairs])
-        click.echo(f"| {one} | " + " | ".join(cells) + f" | {paired if one != 'ours' else '-'} |")
+    for variant, results in by_variant.items():
+        cells = [mean_with_interval([result[row] for result in results]) for row in rows]
+        pairs = zip(results, by_variant["ours"], strict=True)
+        paired = mean_with_interval([result["service"] - ours["service"] for result, ours in pairs])
+        click.echo(f"| {variant} | " + " | ".join(cells) + f" | {paired if variant != 'ours' else '-'} |")
 
 
 ROWS = [
@@ -230,6 +260,7 @@
 @click.option("--seeds", default=20)
 @click.argument("paths", nargs=-1)
 def sides(seeds: int, paths: tuple[str, ...]) -> None:
+    """All parts beside off, no advice and waits at callers."""
     for path in paths or ("examples/storms/restored.hcl", "examples/storms/jam.hcl"):
         side_by_side(load(path), ["ours", "off", "no advice", "waits at callers"], seeds, ROWS)
 
@@ -238,6 +269,7 @@
 @click.option("--seeds", default=20)
 @click.argument("paths", nargs=-1)
 def parts(seeds: int, paths: tuple[str, ...]) -> None:
+    """All parts beside variants with one part disabled."""
     for path in paths or ("examples/storms/restored.hcl", "examples/storms/agents-restarted.hcl"):
         names = ["ours"] + [f"without {name}" for name in PARTS]
         side_by_side(load(path), names, seeds, ROWS)
@@ -246,13 +278,13 @@
 @cli.command()
 @click.option("--seeds", default=20)
 def guards(seeds: int) -> None:
-    """What each part guards that earns nothing where gateways heed and nothing floods."""
+    """Cases for parts that bring no revenue while gateways follow advice and none floods."""
     flood = load("examples/storms/flood.hcl")
     side_by_side(flood, ["ours", "without door"], seeds, ["service", "beside", "dials", "rules broken"])
-    deaf = load("examples/storms/honour-100.hcl")
-    deaf = replace(deaf, title="no notices", callers=replace(deaf.callers, follows=False))
+    no_notices = load("examples/storms/honour-100.hcl")
+    no_notices = replace(no_notices, title="no notices", callers=replace(no_notices.callers, follows=False))
     rows = ["service", "dials", "most dials/s", "rules broken"]
-    side_by_side(deaf, ["ours", "without slots"], seeds, rows)
+    side_by_side(no_notices, ["ours", "without slots"], seeds, rows)
     side_by_side(load("examples/storms/in-step.hcl"), ["ours", "without slots"], seeds, rows)
     reconnect = load("examples/storms/reconnect.hcl")
     fleet = replace(reconnect.fleet, gateways=200)
@@ -263,26 +295,32 @@
 @cli.command()
 @click.option("--seeds", default=20)
 def quiet(seeds: int) -> None:
+    """Runs without trouble: the control must cost nothing."""
     script = load("examples/storms/honest-surge.hcl")
     for level in (0.6, 1.0):
         steps = (scripts.Load(at=0, level=level),)
-        calm = replace(script, title=f"no trouble, {level:.0%} of plan", trouble=(), load=steps)
+        untroubled = replace(script, title=f"no trouble, {level:.0%} of plan", trouble=(), load=steps)
         rows = ["service", "dials", "wait ms", "useful", "rules broken"]
-        side_by_side(calm, ["ours", "off"], seeds, rows)
+        side_by_side(untroubled, ["ours", "off"], seeds, rows)
 
 
 @cli.command("seeds")
 @click.option("--seeds", default=20)
 @click.argument("path")
-def seeds_of(seeds: int, path: str) -> None:
+def run_seeds(seeds: int, path: str) -> None:
+    """One script with its own checks."""
     script = load(path)
-    played = many([("ours", replace(script, seed=seed)) for seed in range(1, seeds + 1)])
+    played = play_all([("ours", replace(script, seed=seed)) for seed in range(1, seeds + 1)])
     for row in ROWS:
         if row in played[0]:
-            values = [one[row] for one in played]
-            click.echo(f"{row:14} {bar(values):18} worst {min(values):.3f} to {max(values):.3f}")
-    failed = [seed for seed, one in enumerate(played, 1) if one["checks failed"] or one["rules broken"]]
-    click.echo(f"{seeds} seeds, not held: {failed or 'none'}")
+            values = [result[row] for result in played]
+            click.echo(
+                f"{row:14} {mean_with_interval(values):18} worst {min(values):.3f} to {max(values):.3f}"
+            )
+    failed = [
+        seed for seed, result in enumerate(played, 1) if result["checks failed"] or result["rules broken"]
+    ]
+    click.echo(f"{seeds} seeds, failed: {failed or 'none'}")
 
 
 @cli.command()
@@ -290,11 +328,12 @@
 @click.option("--seed", default=1)
 @click.option("--variants", default="ours,off")
 def size(exchanges: int, seed: int, variants: str) -> None:
+    """One run at 600 calls a second for each variant."""
     script = load("examples/storms/restored.hcl")
     fleet = replace(script.fleet, exchanges=exchanges, calls_a_second=600 / exchanges / 1.2)
     script = replace(script, title="at size", fleet=fleet, seed=seed, must=scripts.Must())
     names = variants.split(",")
-    for name, result in zip(names, many([(name, script) for name in names]), strict=True):
+    for name, result in zip(names, play_all([(name, script) for name in names]), strict=True):
         click.echo(f"{name}: " + ", ".join(f"{key} {value:.3f}" for key, value in result.items()))
 
 
@@ -312,29 +351,29 @@
 
 @cli.command()
 def cost() -> None:
-    """Sight, watch and door for one call, as the agent asks them."""
+    """Time that storm detection and gateway admission take for one call."""
     for gateways, held in ((1, 0), (1, 20_000), (100, 20_000), (1000, 20_000)):
-        one, seen_by, door = sight.Sight(9 * SECOND), watch.Watch(), shares.Door()
-        draw = random.Random(1)
+        detector, storm_watch, admission = sight.Sight(9 * SECOND), watch.Watch(), shares.Door()
+        rng = random.Random(1)
         for number in range(held):
             key = (f"<g{number % gateways}>", "line", 5, f"n{number}")
-            one.unserved(0, key, one.asked(0, key, False, False), 500 * MS)
-        events, best = 20_000, 1e9
+            detector.unserved(0, key, detector.asked(0, key, False, False), 500 * MS)
+        events, best_seconds = 20_000, 1e9
         for _ in range(3):
             started = time.perf_counter()
             for number in range(events):
                 now = number * MS // 10
                 name = f"<g{number % gateways}>"
                 key = (name, "line", 5, f"n{number % 40_000}")
-                seen = one.asked(now, key, False, False)
-                seen_by.call(now, seen)
-                if not door.lets(now, name, 1.0, draw.random()) or number % 2:
-                    one.unserved(now, key, seen, 500 * MS)
-                    door.refused(now)
+                seen = detector.asked(now, key, False, False)
+                storm_watch.call(now, seen)
+                if not admission.lets(now, name, 1.0, rng.random()) or number % 2:
+                    detector.unserved(now, key, seen, 500 * MS)
+                    admission.refused(now)
                 else:
-                    door.stood(now)
-            best = min(best, time.perf_counter() - started)
-        click.echo(f"{gateways:5d} gateways, {held:6d} kept: {best / events * 1e6:.1f} us a call")
+                    admission.stood(now)
+            best_seconds = min(best_seconds, time.perf_counter() - started)
+        click.echo(f"{gateways:5d} gateways, {held:6d} kept: {best_seconds / events * 1e6:.1f} us a call")
 
 
 if __name__ == "__main__":
