--- a/benchmarks/agent_load.py
+++ b/benchmarks/agent_load.py
@@ -1,10 +1,10 @@
-"""How many calls a second one agent carries on one core, and what a call costs beside a bare epoll loop.
+"""Measures the calls a second that one agent handles on one core, and their cost beside a bare epoll loop.
 
     python benchmarks/agent_load.py [CALLS_A_SECOND ...]
 
-One agent is a process of its own; a second one is its callers and its exchange, which answer at once, so what
-is measured is the agent. The bare loop is a process that moves the same bytes between the same sockets
-and reads nothing in them. CPU is the measured process's own, from its resource usage; read the ratio.
+The agent is a process of its own. This process is its callers and its exchanges, which answer at once, so
+that only the agent is measured. The bare loop is a process that moves the same bytes between the same sockets
+without parsing them. CPU time is that of the measured process, from its resource usage; compare the ratio.
 """
 
 from __future__ import annotations
@@ -34,16 +34,17 @@
 from peattrestle.settings.agent import Agent, Bearer, Limits
 
 SECOND = 1_000_000_000
-LENGTH = 5
+DURATION = 5  # seconds
 
 
 def serve_agent(settings: Agent, report: str, seconds: float) -> None:
+    """Runs an agent for `seconds` and writes CPU seconds, bytes of memory and counters to `report`."""
     kernel = EpollKernel(1)
     agent = CallAgent(kernel, settings, lambda *_, **__: None)
     agent.start()
     kernel.run(kernel.now() + round(seconds * SECOND))
     usage = resource.getrusage(resource.RUSAGE_SELF)
-    # The present size, not the largest: that one is inherited from whoever started this process.
+    # The present resident size: the peak in the resource usage is inherited from the parent process.
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     Path(report).write_text(
         json.dumps(
@@ -58,56 +59,60 @@
 
 
 def bare_loop(pairs: list[tuple[str, str]], report: str, seconds: float) -> None:
-    """Takes bytes at one port and hands them to another, both ways, for each pair."""
-    epoll, sockets, other = select.epoll(), {}, {}
+    """Forwards bytes in both directions between each pair of a listening and an onward address."""
+    epoll, sockets, peers = select.epoll(), {}, {}
     listeners = {}
     for listen, onward in pairs:
         host, port = listen.split(":")
-        one = socket.create_server((host, int(port)))
-        listeners[one.fileno()] = (one, onward)
-        epoll.register(one, select.EPOLLIN)
+        listener = socket.create_server((host, int(port)))
+        listeners[listener.fileno()] = (listener, onward)
+        epoll.register(listener, select.EPOLLIN)
     until = time.monotonic() + seconds
     moved = 0
     while time.monotonic() < until:
         for fd, _ in epoll.poll(0.2):
             if fd in listeners:
-                here, _ = listeners[fd][0].accept()
+                client, _ = listeners[fd][0].accept()
                 host, port = listeners[fd][1].split(":")
-                there = socket.create_connection((host, int(port)))
-                for one, two in ((here, there), (there, here)):
-                    one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                    sockets[one.fileno()], other[one.fileno()] = one, two
-                    epoll.register(one, select.EPOLLIN)
+                server = socket.create_connection((host, int(port)))
+                for connection, peer in ((client, server), (server, client)):
+                    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                    sockets[connection.fileno()], peers[connection.fileno()] = connection, peer
+                    epoll.register(connection, select.EPOLLIN)
                 continue
             data = sockets[fd].recv(65536)
             if not data:
                 epoll.unregister(fd)
                 continue
             moved += len(data)
-            other[fd].sendall(data)
+            peers[fd].sendall(data)
     usage = resource.getrusage(resource.RUSAGE_SELF)
     Path(report).write_text(json.dumps({"cpu": usage.ru_utime + usage.ru_stime, "moved": moved}))
 
 
-class Side:
-    """Callers and exchanges: offers calls at a rate, answers every set-up at once, counts delays."""
+class LoadGenerator:
+    """The agent's callers and exchanges: sends calls at a rate, answers set-ups at once, records delays.
 
-    def __init__(self, kernel: EpollKernel, rate: float, hold: int) -> None:
-        self.kernel, self.rate, self.hold = kernel, rate, hold
+    `holding_time` is in nanoseconds; calls are never released if it is negative. Delays are in microseconds.
+    """
+
+    def __init__(self, kernel: EpollKernel, rate: float, holding_time: int) -> None:
+        self.kernel, self.rate, self.holding_time = kernel, rate, holding_time
         self.delays = HdrHistogram(1, 60_000_000, 3)
-        self.asked = self.stood = self.contexts = 0
+        self.sent = self.established = self.contexts = 0
         self.bytes = 0
 
-    def exchange(self, stream: Stream) -> Coroutine[None]:
+    def serve_exchange(self, stream: Stream) -> Coroutine[None]:
         session = Session("<x>", Transactions(), stream.write)
         while data := (yield from stream.read()):
             self.bytes += len(data)
-            for heard in session.feed(self.kernel.now(), data):
-                if isinstance(heard, New):
-                    self.answer(session, heard)
+            for event in session.feed(self.kernel.now(), data):
+                if isinstance(event, New):
+                    self.answer(session, event)
 
-    def answer(self, session: Session, heard: New) -> None:
-        number, action = heard.request.id, heard.request.actions[0]
+    def answer(self, session: Session, event: New) -> None:
+        """Replies to an Add with a new context and to any other command with success."""
+        number, action = event.request.id, event.request.actions[0]
         command = action.commands[0]
         if command.name == "Add":
             self.contexts += 1
@@ -121,41 +126,44 @@
     def listen(self, address: str) -> Coroutine[None]:
         listener = self.kernel.listen(address)
         while True:
-            self.kernel.spawn(self.exchange((yield from listener.accept())), "exchange")
+            self.kernel.spawn(self.serve_exchange((yield from listener.accept())), "exchange")
 
-    def caller(self, address: str, seconds: float) -> Coroutine[None]:
+    def send_calls(self, address: str, seconds: float) -> Coroutine[None]:
+        """Registers as a gateway, sends calls for `seconds` and stops the kernel."""
         stream = yield from self.kernel.connect(address, SECOND)
         session = Session("<g0>", Transactions(1, 1 << 20), stream.write)
         session.request(None, lambda n: package.service_change_text(n, "Restart", "900 Service Restored"))
-        self.kernel.spawn(self.hear(session, stream), "hear")
+        self.kernel.spawn(self.read_replies(session, stream), "replies")
         started = self.kernel.now()
-        while (passed := self.kernel.now() - started) < seconds * SECOND:
-            while self.asked < passed * self.rate / SECOND:
-                self.asked += 1
-                asked = SetUpAsked(f"c/{self.asked}", "line", 1, 3 * SECOND, f"n{self.asked}", reference="r")
-                kept = (asked.termination, self.kernel.now())
-                session.request(kept, lambda n, asked=asked: package.add_text(n, asked))  # type: ignore[misc]
+        while (elapsed := self.kernel.now() - started) < seconds * SECOND:
+            while self.sent < elapsed * self.rate / SECOND:
+                self.sent += 1
+                request = SetUpAsked(f"c/{self.sent}", "line", 1, 3 * SECOND, f"n{self.sent}", reference="r")
+                attachment = (request.termination, self.kernel.now())
+                session.request(attachment, lambda n, request=request: package.add_text(n, request))  # type: ignore[misc]
             yield from self.kernel.sleep(2_000_000)
         yield from self.kernel.sleep(SECOND // 2)
         self.kernel.stop()
 
-    def hear(self, session: Session, stream: Stream) -> Coroutine[None]:
+    def read_replies(self, session: Session, stream: Stream) -> Coroutine[None]:
+        """Records the delay of each answered call and schedules its release."""
         while data := (yield from stream.read()):
-            for heard in session.feed(self.kernel.now(), data):
-                if isinstance(heard, Answered) and isinstance(heard.kept, tuple):
-                    termination, at = heard.kept
-                    if package.read_outcome(heard.reply).code == 0:
-                        self.stood += 1
+            for event in session.feed(self.kernel.now(), data):
+                if isinstance(event, Answered) and isinstance(event.kept, tuple):
+                    termination, at = event.kept
+                    if package.read_outcome(event.reply).code == 0:
+                        self.established += 1
                         self.delays.record_value(max(1, (self.kernel.now() - at) // 1000))
-                        if self.hold >= 0:
+                        if self.holding_time >= 0:
                             self.kernel.at(
-                                self.kernel.now() + self.hold, partial(self.release, session, termination)
+                                self.kernel.now() + self.holding_time,
+                                partial(self.release, session, termination),
                             )
 
     def release(self, session: Session, termination: str) -> None:
         session.request(None, lambda number: package.subtract_text(number, "*", termination))
 
-    def listing(self, address: str, exchanges: list[str]) -> Coroutine[None]:
+    def serve_exchange_list(self, address: str, exchanges: list[str]) -> Coroutine[None]:
         listener = self.kernel.listen(address)
         rows = [
             {"exchange": f"x{n}", "number": n, "state": "ready", "address": a}
@@ -166,8 +174,13 @@
             stream.write(json.dumps({"form": "full", "entries": rows}).encode() + b"\n")
 
 
-def run(rate: float, hold: int = SECOND, seconds: float = LENGTH, through: str = "agent") -> dict[str, float]:
-    """through 'agent', or 'bare': the same callers and exchange with the bare loop between them."""
+def run(
+    rate: float, holding_time: int = SECOND, seconds: float = DURATION, through: str = "agent"
+) -> dict[str, float]:
+    """Runs one measurement and returns its figures; delays are in milliseconds.
+
+    `through` is 'agent', or 'bare' for the bare loop between the same callers and exchanges.
+    """
     folder = tempfile.mkdtemp(prefix="peattrestle-bench-")
     report = f"{folder}/report.json"
     callers, listing = free_address("127.4.0.1"), free_address("127.4.0.2")
@@ -177,55 +190,57 @@
         limits=Limits(calls=100_000),
     )  # fmt: skip
     target: Callable[..., None] = serve_agent if through == "agent" else bare_loop
-    first = settings if through == "agent" else [(callers, exchanges[1])]
-    process = multiprocessing.get_context("spawn").Process(target=target, args=(first, report, seconds + 3))
+    configuration = settings if through == "agent" else [(callers, exchanges[1])]
+    process = multiprocessing.get_context("spawn").Process(
+        target=target, args=(configuration, report, seconds + 3)
+    )
     kernel = EpollKernel(2)
-    side = Side(kernel, rate, hold)
+    generator = LoadGenerator(kernel, rate, holding_time)
     for address in exchanges:
-        kernel.spawn(side.listen(address), "listen")
-    kernel.spawn(side.listing(listing, exchanges), "list")
+        kernel.spawn(generator.listen(address), "listen")
+    kernel.spawn(generator.serve_exchange_list(listing, exchanges), "list")
     process.start()
 
-    def day() -> Coroutine[None]:
+    def run_load() -> Coroutine[None]:
         yield from kernel.sleep(round(1.7 * SECOND))
-        yield from side.caller(callers, seconds)
+        yield from generator.send_calls(callers, seconds)
 
-    kernel.spawn(day(), "day")
+    kernel.spawn(run_load(), "load")
     kernel.run(kernel.now() + round((seconds + 10) * SECOND))
     kernel.close()
     process.join(20)
     process.kill()
-    out: dict[str, float] = json.loads(Path(report).read_text())
-    out.update(rate=rate, asked=side.asked, stood=side.stood)
-    for part in (50, 90, 99, 99.9):
-        out[f"p{part}"] = side.delays.get_value_at_percentile(part) / 1000
-    return out
+    measurements: dict[str, float] = json.loads(Path(report).read_text())
+    measurements.update(rate=rate, asked=generator.sent, stood=generator.established)
+    for percentile in (50, 90, 99, 99.9):
+        measurements[f"p{percentile}"] = generator.delays.get_value_at_percentile(percentile) / 1000
+    return measurements
 
 
 def main() -> None:
     idle = run(0.001, seconds=1)["cpu"]
     idle_bare = run(0.001, seconds=1, through="bare")["cpu"]
-    rates = [float(one) for one in sys.argv[1:]] or [10, 100, 500, 1000, 1500]
+    rates = [float(argument) for argument in sys.argv[1:]] or [10, 100, 500, 1000, 1500]
     for rate in rates:
-        one = run(rate)
-        cpu = (one["cpu"] - idle) / max(1, one["asked"])
-        share = (one["cpu"] - idle) / LENGTH
+        figures = run(rate)
+        cpu = (figures["cpu"] - idle) / max(1, figures["asked"])
+        share = (figures["cpu"] - idle) / DURATION
         print(
-            f"{rate:6.0f} calls/s  stood {one['stood']} of {one['asked']}  {cpu * 1e6:5.0f} us a call, "
-            f"{share:4.0%} of a core  added delay ms p50 {one['p50']:.2f} p90 {one['p90']:.2f} "
-            f"p99 {one['p99']:.2f}"
+            f"{rate:6.0f} calls/s  stood {figures['stood']} of {figures['asked']}  "
+            f"{cpu * 1e6:5.0f} us a call, {share:4.0%} of a core  added delay ms p50 {figures['p50']:.2f} "
+            f"p90 {figures['p90']:.2f} p99 {figures['p99']:.2f}"
         )
-    busy = run(500)
+    agent_run = run(500)
     bare = run(500, through="bare")
-    agent_cost = (busy["cpu"] - idle) / busy["asked"]
+    agent_cost = (agent_run["cpu"] - idle) / agent_run["asked"]
     bare_cost = (bare["cpu"] - idle_bare) / bare["asked"]
     print(
         f"a call through the agent costs {agent_cost / bare_cost:.1f} times what the bare loop needs to move "
         f"its bytes once ({agent_cost * 1e6:.0f} and {bare_cost * 1e6:.0f} us)"
     )
-    before, after = run(0.001, seconds=1), run(2000, hold=-1, seconds=5)
-    held = after["stood"]
-    print(f"{(after['rss'] - before['rss']) / max(1, held):.0f} bytes a held call, {held:.0f} held")
+    before, after = run(0.001, seconds=1), run(2000, holding_time=-1, seconds=5)
+    calls = after["stood"]
+    print(f"{(after['rss'] - before['rss']) / max(1, calls):.0f} bytes a held call, {calls:.0f} held")
 
 
 if __name__ == "__main__":
--- a/benchmarks/module_size.py
+++ b/benchmarks/module_size.py
@@ -1,8 +1,8 @@
-"""Calls a second through `Controller.handle` alone, by number of exchanges: direct calls that stand and end.
+"""Calls a second through `Controller.handle` alone, by number of exchanges, for direct answered calls.
 
     python benchmarks/module_size.py
 
-Figures depend on the machine; read the ratios to the first row.
+Absolute figures depend on the machine; compare the ratios to the first row.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 
 def calls_a_second(exchanges: int, calls: int = 20_000) -> float:
-    """A call every millisecond to each exchange in turn; each stands 50 ms later and ends a second later."""
+    """Returns the rate of handling calls that go to each exchange in turn, one every simulated millisecond.
+
+    Each is answered, and its try ends, half a millisecond after it arrives.
+    """
     settings = {
         "agents": exchanges,
         "own_number": 0,
@@ -35,14 +38,16 @@
     started = time.perf_counter()
     for call in range(calls):
         now = call * MS
-        to = 1 + call % (exchanges - 1)
-        actions = controller.handle(now, [api.CallArrived(call, "line", now + 3000 * MS, to, f"n{call}")])
+        destination = 1 + call % (exchanges - 1)
+        actions = controller.handle(
+            now, [api.CallArrived(call, "line", now + 3000 * MS, destination, f"n{call}")]
+        )
         assert isinstance(actions[0], api.SetUp), actions
         controller.handle(
             now + MS // 2,
             [
-                api.Stood(call, f"x{to}", MS // 2, 0),
-                api.TryEnded(call, f"x{to}", "served", MS // 2, 0, True, load=load),
+                api.Stood(call, f"x{destination}", MS // 2, 0),
+                api.TryEnded(call, f"x{destination}", "served", MS // 2, 0, True, load=load),
             ],
         )
     return calls / (time.perf_counter() - started)
