--- a/peattrestle/trials/caller.py
+++ b/peattrestle/trials/caller.py
@@ -52,12 +52,12 @@
 
 
 class CallerConnectionDriver:
-    """Sends and receives on one connection of regular callers; `open` are its unanswered requests."""
+    """Sends and receives on one connection of regular callers; `open_requests` are unanswered."""
 
     def __init__(self, group: CallerGroup, stream: Stream) -> None:
         self.group, self.stream = group, stream
-        self.observed = CallerConnection(group.agent, group.kernel.now())
-        self.open: dict[str, Request] = {}
+        self.connection = CallerConnection(group.agent, group.kernel.now())
+        self.open_requests: dict[str, Request] = {}
         self.writing = False
         self.queued: list[bytes] = []
 
@@ -71,13 +71,13 @@
     @property
     def usable(self) -> bool:
         """Whether a new request can be sent now."""
-        return self.observed.end is ConnectionEnd.OPEN and not self.writing
+        return self.connection.end is ConnectionEnd.OPEN and not self.writing
 
     def read_messages(self) -> Coroutine[None]:
         reader, end = sip.Reader(), ConnectionEnd.AGENT_CLOSED
         try:
             while data := (yield from self.stream.read()):
-                self.observed.received += len(data)
+                self.connection.received += len(data)
                 reader.feed(data)
                 while (message := reader.next()) is not None:
                     self.group.handle_message(self, message)
@@ -88,8 +88,8 @@
         self.on_ended(end)
 
     def on_ended(self, end: ConnectionEnd) -> None:
-        if self.observed.end is ConnectionEnd.OPEN:
-            self.observed.end, self.observed.ended_at = end, self.group.kernel.now()
+        if self.connection.end is ConnectionEnd.OPEN:
+            self.connection.end, self.connection.ended_at = end, self.group.kernel.now()
         self.stream.close()
         self.group.on_connection_ended(self)
 
@@ -103,7 +103,7 @@
                 break
             yield from self.group.kernel.sleep(rng.randint(1, 60) * MS)
         self.writing = False
-        if self.observed.end is ConnectionEnd.OPEN:
+        if self.connection.end is ConnectionEnd.OPEN:
             request.sent_at = self.group.kernel.now()
         queued, self.queued = self.queued, []
         for message in queued:
@@ -163,11 +163,11 @@
         """Sends a set-up to a random exchange and decides whether it is written slowly or abandoned."""
         answer_timeout = round(self.deployment.deadline * (0.7 + 0.3 * self.rng.random()))
         call_id = f"{self.rng.getrandbits(64):016x}"
-        observed = driver.observed
-        request = Request(call_id, self.agent, observed, observed.requests == 0, answer_timeout)
-        observed.requests += 1
+        connection = driver.connection
+        request = Request(call_id, self.agent, connection, connection.requests == 0, answer_timeout)
+        connection.requests += 1
         self.record.requests[call_id] = request
-        driver.open[call_id] = request
+        driver.open_requests[call_id] = request
         others = [n for n in range(self.deployment.exchanges) if n != self.agent]
         destination = self.rng.choice(others)
         data = invite_message(
@@ -186,13 +186,13 @@
 
     def abandon(self, driver: CallerConnectionDriver, request: Request) -> None:
         """Gives up an unanswered request: cancels it, or closes the connection with all its requests."""
-        if request.answers or driver.observed.end is not ConnectionEnd.OPEN or driver.writing:
+        if request.answers or driver.connection.end is not ConnectionEnd.OPEN or driver.writing:
             return
         request.given_up_at = self.kernel.now()
         if self.rng.random() < self.behaviour.disconnect_share:
-            for other in driver.open.values():
+            for other in driver.open_requests.values():
                 other.given_up_at = other.given_up_at or self.kernel.now()
-            driver.observed.end, driver.observed.ended_at = ConnectionEnd.CALLER, self.kernel.now()
+            driver.connection.end, driver.connection.ended_at = ConnectionEnd.CALLER, self.kernel.now()
             driver.stream.close()
         else:
             driver.send(bodyless_request("CANCEL", request.call_id))
@@ -214,7 +214,7 @@
             )
             return
         request.answers.append(Answer(self.kernel.now(), message.status, message.body.decode()))
-        driver.open.pop(request.call_id, None)
+        driver.open_requests.pop(request.call_id, None)
         if message.status != 200:
             if self.sending and driver.usable and self.rng.random() < self.behaviour.retry_share:
                 self.send_invite(driver)
@@ -242,7 +242,7 @@
         """Injects a network fault: resets one connection while requests may be open on it."""
         if self.connections:
             driver = self.rng.choice(self.connections)
-            driver.observed.end, driver.observed.ended_at = ConnectionEnd.INJECTED, self.kernel.now()
+            driver.connection.end, driver.connection.ended_at = ConnectionEnd.INJECTED, self.kernel.now()
             driver.stream.abort()
 
 
--- a/peattrestle/trials/feed.py
+++ b/peattrestle/trials/feed.py
@@ -58,7 +58,7 @@
         self.address_index = 0
         self.outage_began = 0
         self.subscribers: dict[Stream, int] = {}
-        self.agents: dict[Stream, int] = {}
+        self.agent_by_stream: dict[Stream, int] = {}
         self.listeners: list[Listener] = []
         self.open()
 
@@ -81,7 +81,7 @@
                 stream = yield from listener.accept()
             except Lost:
                 return
-            self.agents[stream] = agent
+            self.agent_by_stream[stream] = agent
             self.kernel.spawn(self.serve(stream), "feed subscriber")
 
     def serve(self, stream: Stream) -> Coroutine[None]:
@@ -91,7 +91,7 @@
             pass
         finally:
             self.subscribers.pop(stream, None)
-            self.agents.pop(stream, None)
+            self.agent_by_stream.pop(stream, None)
             stream.close()
 
     def handle_request(self, stream: Stream) -> Coroutine[None]:
@@ -126,7 +126,7 @@
         last = self.subscribers[stream]
         for event in self.events:
             if event.number > last:
-                payload = json.dumps(self.payload(event, self.agents[stream]))
+                payload = json.dumps(self.payload(event, self.agent_by_stream[stream]))
                 stream.write(f"id: {event.number}\ndata: {payload}\n\n".encode())
                 self.subscribers[stream] = event.number
 
