--- /dev/null
+++ b/peattrestle/trials/random_trial.py
@@ -0,0 +1,261 @@
+"""Random trials generated from a seed: a small deployment and several overlapping troubles."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+
+from peattrestle.runtime import Coroutine
+from peattrestle.trials.caller import ABUSIVE_INPUTS, AbusiveCaller, CallerBehaviour
+from peattrestle.trials.deployment import Deployment
+from peattrestle.trials.environment import TrialEnvironment, free_port
+from peattrestle.trials.exchange import Behaviour, StandInExchange
+from peattrestle.trials.feed import FeedState
+
+MS = 1_000_000
+SECOND = 1_000 * MS
+DEADLINES = (100 * MS, 300 * MS, 1_000 * MS, 3_000 * MS)
+FIRST_NETWORK = 20
+NETWORK_COUNT = 200
+TROUBLE_DURATION = 9 * SECOND
+SETTLING_TIME = 1 * SECOND
+MAX_RESTART_DURATION = 25 * SECOND
+BURST_SIZE = 25
+SILENT_CROWD_SIZE = 150
+
+OUTAGES = (FeedState.DOWN, FeedState.SILENT, FeedState.REFUSING, FeedState.SLOW)
+FAULTY_ANSWERS = (
+    Behaviour.GARBAGE,
+    Behaviour.TRUNCATED,
+    Behaviour.DUPLICATE,
+    Behaviour.STRAY_ANSWER_FIRST,
+    Behaviour.SLOW_WRITE,
+)
+FAILURES = (Behaviour.NO_ANSWER, Behaviour.RESET, Behaviour.CLOSE, Behaviour.FULL, Behaviour.ERROR)
+
+# Injects one kind of fault into a running trial.
+Trouble = Callable[["Trial"], Coroutine[None]]
+
+
+@dataclass(slots=True, frozen=True)
+class PlannedTrouble:
+    """A trouble and when it begins, in nanoseconds after all agents are in service."""
+
+    name: str
+    at: int
+
+
+def draw_deployment(seed: int, rng: random.Random) -> Deployment:
+    """Returns a random deployment on loopback addresses that are reserved for the seed."""
+    deadline = rng.choice(DEADLINES)
+    return Deployment(
+        agents=rng.choice((1, 2, 3)),
+        exchanges=rng.choice((3, 4)),
+        deadline=deadline,
+        answer_target=round(deadline * rng.choice((0.2, 0.4, 0.9))),
+        holding_time=rng.choice((300, 1_500)) * MS,
+        release_time=min(150 * MS, deadline // 4),
+        socket_limit=rng.choice((256, 640)),
+        network=FIRST_NETWORK + seed % NETWORK_COUNT,
+        port=free_port(),
+    )
+
+
+class Trial:
+    """One random trial. The seed determines what happens; the exact moments depend on real time."""
+
+    def __init__(self, seed: int, directory: Path, in_bursts: bool = False) -> None:
+        self.seed, self.rng = seed, random.Random(f"trial/{seed}")
+        deployment = draw_deployment(seed, self.rng)
+        caller_behaviour = CallerBehaviour(
+            mean_interval=self.rng.choice((10, 25, 60)) * MS,
+            max_connections=self.rng.choice((1, 3, 6)),
+            slow_write_share=self.rng.choice((0.0, 0.1, 0.4)),
+            abandon_share=self.rng.choice((0.0, 0.05, 0.3)),
+            retry_share=self.rng.choice((0.0, 0.3, 0.8)),
+            disconnect_share=self.rng.choice((0.0, 0.2)),
+            burst_size=BURST_SIZE if in_bursts else 1,
+        )
+        self.environment = TrialEnvironment(deployment, directory, seed, caller_behaviour)
+        for exchange in self.environment.exchanges.values():
+            self.draw_behaviours(exchange)
+        self.plan = self.draw_plan()
+
+    def draw_plan(self) -> list[PlannedTrouble]:
+        """Returns a restart and some other troubles, ordered by time.
+
+        The others begin within the first two thirds of the trial.
+        """
+        names = self.rng.sample(sorted(set(TROUBLES) - {"restarts"}), self.rng.randint(3, 6))
+        offsets = [self.rng.randint(0, TROUBLE_DURATION * 2 // 3 // MS) * MS for _ in names]
+        plan = [PlannedTrouble(name, offset) for name, offset in zip(names, offsets, strict=True)]
+        plan.append(PlannedTrouble("restarts", self.rng.randint(500, 2_500) * MS))
+        return sorted(plan, key=lambda planned: planned.at)
+
+    def draw_behaviours(self, exchange: StandInExchange) -> None:
+        """Sets the delays of an exchange and how often it misbehaves."""
+        deadline = self.environment.deployment.deadline
+        max_delay = round(deadline * self.rng.choice((0.1, 0.3, 0.6)))
+        exchange.delay = (min(2 * MS, max_delay), max_delay)
+        behaviours = self.rng.sample(FAULTY_ANSWERS, 2) + self.rng.sample(FAILURES, 2)
+        exchange.late_report_share = self.rng.choice((0.0, 0.3))
+        share = self.rng.choice((0.0, 0.01, 0.05))
+        exchange.behaviours = dict.fromkeys(behaviours, share)
+
+    def run(self) -> None:
+        """Runs the trial to its end. Raises RuntimeError if the agents do not become ready."""
+        environment = self.environment
+        if not environment.run_script(environment.start_all_agents(), 30 * SECOND):
+            raise RuntimeError("the agents did not become ready within 30 s")
+        tasks = [environment.kernel.spawn(self.run_trouble(planned), planned.name) for planned in self.plan]
+        environment.run(TROUBLE_DURATION)
+        deadline = environment.kernel.now() + MAX_RESTART_DURATION
+        while not all(task.done for task in tasks) and environment.kernel.now() < deadline:
+            environment.run(50 * MS)
+        environment.stop_callers()
+        environment.run(environment.deployment.deadline + SETTLING_TIME)
+
+    def run_trouble(self, planned: PlannedTrouble) -> Coroutine[None]:
+        """Waits until the trouble is due and runs it."""
+        yield from self.environment.kernel.sleep(planned.at)
+        self.environment.record.add_event(self.environment.kernel.now(), f"trouble: {planned.name}")
+        yield from TROUBLES[planned.name](self)
+
+    # Random choices.
+
+    def random_exchange(self) -> StandInExchange:
+        """Returns one of the running exchanges."""
+        return self.rng.choice(list(self.environment.exchanges.values()))
+
+    def random_sleep(self, min_ms: int, max_ms: int) -> Coroutine[None]:
+        """Sleeps for a random time between the bounds, in milliseconds."""
+        yield from self.environment.kernel.sleep(self.rng.randint(min_ms, max_ms) * MS)
+
+
+def restarts(trial: Trial) -> Coroutine[None]:
+    """Restarts all agents one after the other; in a quarter of the trials all at once."""
+    environment = trial.environment
+    agents = list(range(environment.deployment.agents))
+    if trial.rng.random() < 0.25:
+        tasks = [environment.kernel.spawn(environment.planned_restart(agent), "restart") for agent in agents]
+        for task in tasks:
+            yield from task.join()
+        return
+    for agent in agents:
+        yield from environment.planned_restart(agent)
+
+
+def crash(trial: Trial) -> Coroutine[None]:
+    """Kills an agent without warning and starts it again."""
+    agent = trial.rng.randrange(trial.environment.deployment.agents)
+    yield from trial.environment.crash_agent(agent)
+
+
+def hang(trial: Trial) -> Coroutine[None]:
+    """An exchange hangs, sometimes for as long as an agent's shutdown takes."""
+    exchange = trial.random_exchange()
+    exchange.silent = True
+    yield from trial.random_sleep(500, 5_000)
+    exchange.silent = False
+
+
+def replacements(trial: Trial) -> Coroutine[None]:
+    """Exchanges end one after the other and new ones take over their addresses."""
+    for _ in range(trial.rng.randint(1, 3)):
+        trial.environment.replace_exchange(trial.random_exchange().name)
+        yield from trial.random_sleep(100, 1_000)
+
+
+def drain(trial: Trial) -> Coroutine[None]:
+    """An exchange drains, ends, and is replaced by a new one."""
+    exchange = trial.random_exchange()
+    trial.environment.drain_exchange(exchange.name)
+    yield from trial.random_sleep(100, 2_500)
+    if exchange.name in trial.environment.exchanges:
+        trial.environment.replace_exchange(exchange.name)
+
+
+def feed_outage(trial: Trial) -> Coroutine[None]:
+    """The feed has an outage; an exchange drains shortly before or after it is back."""
+    environment = trial.environment
+    if environment.feed.state is not FeedState.UP:
+        return
+    environment.start_feed_outage(trial.rng.choice(OUTAGES))
+    yield from trial.random_sleep(300, 4_000)
+    drain_in_outage = trial.rng.random() < 0.5
+    if drain_in_outage:
+        environment.drain_exchange(trial.random_exchange().name)
+    yield from trial.random_sleep(0, 200)
+    environment.end_feed_outage()
+    if not drain_in_outage:
+        yield from trial.random_sleep(0, 500)
+        environment.drain_exchange(trial.random_exchange().name)
+
+
+def configurations(trial: Trial) -> Coroutine[None]:
+    """The feed moves several times, so agents get new configurations in quick succession."""
+    for _ in range(trial.rng.randint(1, 3)):
+        if trial.environment.feed.state is FeedState.UP:
+            trial.environment.move_feed()
+        yield from trial.random_sleep(5, 700)
+    if trial.rng.random() < 0.5:
+        trial.environment.drain_exchange(trial.random_exchange().name)
+
+
+def abuse(trial: Trial) -> Coroutine[None]:
+    """Abusive callers connect to agents that are in service."""
+    environment = trial.environment
+    for _ in range(trial.rng.randint(3, 10)):
+        agent = trial.rng.randrange(environment.deployment.agents)
+        if environment.agents[agent].in_service:
+            address = environment.deployment.agent_address(agent)
+            AbusiveCaller(environment.kernel, environment.record, address, trial.rng.choice(ABUSIVE_INPUTS))
+        yield from trial.random_sleep(1, 150)
+
+
+def silent_crowd(trial: Trial) -> Coroutine[None]:
+    """Many callers connect to one agent and send nothing."""
+    environment = trial.environment
+    agent = trial.rng.randrange(environment.deployment.agents)
+    if environment.agents[agent].in_service:
+        for _ in range(SILENT_CROWD_SIZE):
+            AbusiveCaller(
+                environment.kernel, environment.record, environment.deployment.agent_address(agent), b""
+            )
+    yield from trial.random_sleep(1, 10)
+
+
+def resets(trial: Trial) -> Coroutine[None]:
+    """Connections to exchanges and from callers end while requests are open on them."""
+    for _ in range(trial.rng.randint(2, 12)):
+        if trial.rng.random() < 0.6:
+            trial.random_exchange().end_random_connection(by_reset=trial.rng.random() < 0.5)
+        else:
+            trial.rng.choice(trial.environment.callers).reset_random_connection()
+        yield from trial.random_sleep(10, 400)
+
+
+def worse_exchanges(trial: Trial) -> Coroutine[None]:
+    """All exchanges misbehave more often for a while, then answer every set-up."""
+    for exchange in trial.environment.exchanges.values():
+        exchange.behaviours = dict.fromkeys(trial.rng.sample([*FAULTY_ANSWERS, *FAILURES], 4), 0.12)
+    yield from trial.random_sleep(500, 3_000)
+    for exchange in trial.environment.exchanges.values():
+        exchange.behaviours = {}
+
+
+TROUBLES: dict[str, Trouble] = {
+    "restarts": restarts,
+    "crash": crash,
+    "hang": hang,
+    "replacements": replacements,
+    "drain": drain,
+    "feed outage": feed_outage,
+    "configurations": configurations,
+    "abuse": abuse,
+    "silent crowd": silent_crowd,
+    "resets": resets,
+    "worse exchanges": worse_exchanges,
+}
--- /dev/null
+++ b/peattrestle/trials/rule_checker.py
@@ -0,0 +1,243 @@
+"""Checks the record of a trial against the platform's documented rules.
+
+Bounds and tolerances are those of the documents. Times are in nanoseconds.
+"""
+
+from __future__ import annotations
+
+import bisect
+from collections import defaultdict
+from dataclasses import dataclass
+
+from peattrestle.trials.deployment import Deployment
+from peattrestle.trials.record import (
+    AgentRun,
+    Attempt,
+    AttemptEnd,
+    ConnectionEnd,
+    Record,
+    Request,
+)
+
+MS = 1_000_000
+TIMING_TOLERANCE = 50 * MS  # PROTOCOL.md, "The rules on sockets"
+CROSSING_WINDOW = 50 * MS  # PROTOCOL.md: a set-up that crosses a close within this time is sent again
+LATE_ANSWER_TOLERANCE = 500 * MS  # FLEET.md: a request counts as lost only this long after its timeout
+# PROTOCOL.md, "Figures": a set-up that arrives later after SIGTERM must be answered before SIGKILL.
+LATE_ARRIVAL_IN_SHUTDOWN = 700 * MS
+RELEASE_TIMEOUT = 1_000 * MS
+UNSENT_RELEASE_TIMEOUT = 8_000 * MS
+READY_TIMEOUT = 10_000 * MS
+STATUS_OK = 200
+
+
+@dataclass(slots=True, frozen=True)
+class Violation:
+    """A broken rule: its documented name, the time in nanoseconds, and the evidence."""
+
+    rule: str
+    at: int
+    text: str
+
+
+class RuleChecker:
+    """Finds the rule violations in the record of one trial.
+
+    `ended_at` is the time at which observation stopped; what was not yet due by then is not checked.
+    """
+
+    def __init__(self, record: Record, deployment: Deployment, ended_at: int) -> None:
+        self.record, self.deployment, self.ended_at = record, deployment, ended_at
+        self.tolerance = TIMING_TOLERANCE + record.observer_lag
+        self.crossing_window = CROSSING_WINDOW + record.observer_lag
+        self.attempts: dict[str, list[Attempt]] = defaultdict(list)
+        for attempt in record.attempts:
+            self.attempts[attempt.call_id].append(attempt)
+        self.agent_runs: dict[int, list[AgentRun]] = defaultdict(list)
+        for run in record.agent_runs:
+            self.agent_runs[run.agent].append(run)
+
+    def violations(self) -> list[Violation]:
+        """Returns the violations of all rules, ordered by time."""
+        violations: list[Violation] = []
+        for request in self.record.requests.values():
+            violations += self.check_answers(request)
+            violations += self.check_overlapping_attempts(request)
+        violations += self.check_departures()
+        violations += self.check_releases()
+        violations += self.check_agents()
+        violations += [
+            Violation("abusive", 0, f"no answer in 3 s to {data}") for data in self.record.abusive_unanswered
+        ]
+        violations += [Violation("unsolicited", 0, text) for text in self.record.unsolicited]
+        return sorted(violations, key=lambda violation: violation.at)
+
+    # Answers.
+
+    def run_at(self, agent: int, at: int) -> AgentRun | None:
+        """Returns the last run of `agent` that had started by `at`, None if there was none."""
+        agent_runs = self.agent_runs[agent]
+        index = bisect.bisect_right([run.started_at for run in agent_runs], at) - 1
+        return agent_runs[index] if index >= 0 else None
+
+    def check_answers(self, request: Request) -> list[Violation]:
+        """A request gets one final answer, in time, and a 200 carries a description that an exchange sent."""
+        violations = []
+        if len(request.answers) > 1:
+            statuses = [answer.status for answer in request.answers]
+            violations.append(
+                Violation("lost", request.answers[1].at, f"{request.call_id}: answers {statuses}")
+            )
+        for answer in request.answers:
+            if answer.status == STATUS_OK and answer.description not in self.offered_descriptions(request):
+                violations.append(
+                    Violation(
+                        "lost",
+                        answer.at,
+                        f"{request.call_id}: answered 200 with a description that no exchange sent for it",
+                    )
+                )
+        if request.sent_at and not request.given_up_at:
+            violations += self.check_first_answer(request)
+        return violations
+
+    def offered_descriptions(self, request: Request) -> set[str]:
+        return {attempt.description for attempt in self.attempts[request.call_id] if attempt.description}
+
+    def check_first_answer(self, request: Request) -> list[Violation]:
+        """The final answer is due shortly after the request's timeout, unless the connection excuses it."""
+        due = request.sent_at + request.answer_timeout + LATE_ANSWER_TOLERANCE + self.record.observer_lag
+        if request.answers:
+            answer = request.answers[0]
+            return [self.lost_request(request, answer.at, "answered too late")] if answer.at > due else []
+        connection = request.connection
+        run = self.run_at(request.agent, request.sent_at)
+        if connection.end is ConnectionEnd.OPEN:
+            return [self.lost_request(request, due, "no answer")] if self.ended_at > due else []
+        if connection.end in (ConnectionEnd.CALLER, ConnectionEnd.INJECTED):
+            return []
+        if run is not None and run.killed_at and connection.ended_at >= run.killed_at:
+            return self.check_open_at_kill(request, run)
+        if connection.ended_at > due:
+            return [self.lost_request(request, due, "no answer")]
+        if request.first_on_connection and not connection.received:
+            return []
+        crossed = connection.ended_at - request.sent_at <= self.crossing_window
+        if crossed and not self.attempts[request.call_id]:
+            return []
+        reason = f"connection {connection.end.value} {(connection.ended_at - request.sent_at) // MS} ms later"
+        return [self.lost_request(request, connection.ended_at, reason)]
+
+    def check_open_at_kill(self, request: Request, run: AgentRun) -> list[Violation]:
+        """Checks a request that was unanswered when its agent got SIGKILL."""
+        if run.killed_without_warning:
+            return []
+        arrived_after = request.sent_at - run.terminated_at
+        if arrived_after > LATE_ARRIVAL_IN_SHUTDOWN:
+            return [
+                self.lost_request(
+                    request, run.killed_at, f"arrived {arrived_after // MS} ms after SIGTERM, open at SIGKILL"
+                )
+            ]
+        if run.killed_at > request.sent_at + request.answer_timeout + LATE_ANSWER_TOLERANCE:
+            return [self.lost_request(request, run.killed_at, "no answer before SIGKILL")]
+        return []
+
+    def lost_request(self, request: Request, at: int, reason: str) -> Violation:
+        attempts = [f"{attempt.exchange} {attempt.end.value}" for attempt in self.attempts[request.call_id]]
+        return Violation("lost", at, f"{request.call_id} at n{request.agent}: {reason}; attempts {attempts}")
+
+    # Attempts.
+
+    def check_overlapping_attempts(self, request: Request) -> list[Violation]:
+        """A call is attempted at one exchange at a time.
+
+        After an attempt whose outcome is unknown the next one waits for the release time.
+        """
+        violations = []
+        attempts = sorted(self.attempts[request.call_id], key=lambda attempt: attempt.arrived_at)
+        for earlier, later in zip(attempts, attempts[1:], strict=False):
+            if earlier.end is AttemptEnd.STARTED and earlier.ended_at <= later.arrived_at - self.tolerance:
+                continue  # its answer may have been lost or corrupted in transit
+            if earlier.end is AttemptEnd.REFUSED:
+                continue
+            ended = earlier.ended_at or self.ended_at
+            if ended > later.arrived_at + self.tolerance:
+                text = f"{request.call_id}: pending at {earlier.exchange} and {later.exchange}"
+                violations.append(Violation("duplicate", later.arrived_at, text))
+            elif earlier.end in (AttemptEnd.GIVEN_UP, AttemptEnd.CONNECTION_ENDED):
+                wait = self.deployment.release_time - self.tolerance
+                waited = later.arrived_at - ended
+                if waited < wait:
+                    text = f"{request.call_id}: retried at {later.exchange} only {waited // MS} ms later"
+                    violations.append(Violation("release time", later.arrived_at, text))
+        return violations
+
+    def check_departures(self) -> list[Violation]:
+        """No set-up is sent to a leaving exchange once the drain grace is over."""
+        violations = []
+        for attempt in self.record.attempts:
+            departure = self.record.departures.get(attempt.exchange)
+            if departure is None:
+                continue
+            latest = departure.notified_at + self.deployment.drain_grace + self.tolerance
+            if attempt.arrived_at > latest:
+                late = (attempt.arrived_at - departure.notified_at) // MS
+                text = f"{attempt.call_id} at {attempt.exchange}, {late} ms after notice of its departure"
+                violations.append(Violation("drain", attempt.arrived_at, text))
+        return violations
+
+    # Established calls.
+
+    def check_releases(self) -> list[Violation]:
+        """A call that its exchange ends is released to its caller in time."""
+        violations = []
+        for attempt in self.record.attempts:
+            request = self.record.requests[attempt.call_id]
+            ended_at = attempt.released_at or attempt.exchange_ended_at
+            established = bool(request.answers) and request.answers[0].status == STATUS_OK
+            if not ended_at or not established or request.release_sent_at or request.given_up_at:
+                continue
+            if attempt.description != request.answers[0].description:
+                continue
+            due = ended_at + self.release_timeout(attempt, request) + self.tolerance
+            if self.ended_at < due or not self.served_throughout(request.agent, request.answers[0].at, due):
+                continue
+            if not request.released_at or request.released_at > due:
+                text = f"{request.call_id}: ended at {attempt.exchange}, not released to its caller in time"
+                violations.append(Violation("lost", due, text))
+        return violations
+
+    def release_timeout(self, attempt: Attempt, request: Request) -> int:
+        """Returns the time in which the caller gets the release.
+
+        It is longer if the exchange died without releasing the call or the caller's connection has ended.
+        """
+        deliverable = attempt.released_at and request.connection.end is ConnectionEnd.OPEN
+        return RELEASE_TIMEOUT if deliverable else UNSENT_RELEASE_TIMEOUT
+
+    def served_throughout(self, agent: int, begin: int, end: int) -> bool:
+        """Whether one run of the agent lasted from `begin` to `end` without a shutdown beginning."""
+        run = self.run_at(agent, begin)
+        if run is None or run is not self.run_at(agent, end):
+            return False
+        ends = [at for at in (run.terminated_at, run.ended_at) if at]
+        return not ends or min(ends) >= end
+
+    # Agents.
+
+    def check_agents(self) -> list[Violation]:
+        """Agents become ready in time, end only on a signal, and log no internal error."""
+        violations = []
+        for run in self.record.agent_runs:
+            name = f"n{run.agent}"
+            unsignalled = not run.terminated_at and not run.killed_at
+            if unsignalled and not run.ready_at and self.ended_at - run.started_at > READY_TIMEOUT:
+                violations.append(Violation("ready", run.started_at, f"{name} not ready in 10 s"))
+            failed = run.terminated_at and not run.killed_at and run.exit_code != 0
+            if run.ended_at and (unsignalled or failed):
+                violations.append(Violation("crash", run.ended_at, f"{name} ended with code {run.exit_code}"))
+            violations += [
+                Violation("internal error", run.started_at, f"{name}: {text}") for text in run.internal_errors
+            ]
+        return violations
