--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -47,7 +47,7 @@
     def revenue_only(self: Any, asked: api.CallArrived, seen: Any) -> float:
         return float(self.revenue.get(asked.bearer_type, 1.0) / self.mean_revenue)
 
-    control.Home.worth = revenue_only  # type: ignore[method-assign]
+    control.CallRouter.worth = revenue_only  # type: ignore[method-assign]
 
 
 def without_slots() -> None:
@@ -56,7 +56,7 @@
     def fixed_wait(self: Any, asked: Any, seen: Any, most: int) -> int:
         return int(self.target // 3)
 
-    control.Home.come_back = fixed_wait  # type: ignore[method-assign]
+    control.CallRouter.come_back = fixed_wait  # type: ignore[method-assign]
 
 
 def without_door() -> None:
@@ -89,7 +89,7 @@
 
 def without_budget() -> None:
     """Each first route try allows a whole further one, not only a share of it."""
-    control.Home.FURTHER = 1.0
+    control.CallRouter.FURTHER = 1.0
 
 
 PARTS = {
@@ -112,7 +112,7 @@
 def no_advice() -> None:
     """Disables all parts; refusals tell callers no wait."""
     off()
-    control.Home.come_back = lambda self, asked, seen, most: 0  # type: ignore[method-assign]
+    control.CallRouter.come_back = lambda self, asked, seen, most: 0  # type: ignore[method-assign]
 
 
 def waits_at_callers() -> None:
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -21,8 +21,8 @@
 5. early time-out: while set-ups are being lost, an unanswered one is abandoned in time for one more try;
 6. call gapping: calls to a number whose lines are all busy are refused for a while.
 
-Each exchange, the own one included, is an actor with an inbox; `Home` holds the calls. To set a call
-up, `Home` asks the own exchange, the destination and a tandem in turn for admission; each admits the
+Each exchange, the own one included, is an actor with an inbox; `CallRouter` holds the calls. To set a call
+up, `CallRouter` asks the own exchange, the destination and a tandem in turn for admission; each admits the
 call or refuses it.
 """
 
@@ -263,7 +263,7 @@
     MIN_DECREASE_INTERVAL = SECOND // 2  # ns; set-ups sent before a decrease do not show its effect
     EARLY_TIMEOUT_QUANTILE = 0.9  # an early time-out is at least twice this quantile of the set-up delay
 
-    def __init__(self, loop: Loop, home: Home, name: str) -> None:
+    def __init__(self, loop: Loop, home: CallRouter, name: str) -> None:
         super().__init__(loop)
         self.home = home
         self.name = name
@@ -438,7 +438,7 @@
     is_braked: bool = False  # by the overflow brake
 
 
-class Home(Actor):
+class CallRouter(Actor):
     """The agent's calls and route statistics; the only place that sends set-ups and final answers."""
 
     MAX_LATE_SHARE = 0.25  # of answers; from it on no call overflows and the own window shrinks
@@ -871,7 +871,7 @@
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
         self._loop = Loop(seed, settings)
-        self._home = Home(self._loop)
+        self._home = CallRouter(self._loop)
         self.sight, self.worth = self._home.retry_detector, self._home.worth
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -34,7 +34,7 @@
 
 
 def test_congestion_stays_with_storm_protection_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    home = control.Home
+    home = control.CallRouter
     monkeypatch.setattr(home, "worth", lambda self, asked, seen: self.revenue[asked.bearer_type])
     monkeypatch.setattr(home, "come_back", lambda self, asked, seen, most: self.target // 3)
     monkeypatch.setattr(home, "FURTHER", 1.0)
