--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -871,15 +871,15 @@
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
         self._loop = Loop(seed, settings)
-        self._home = CallRouter(self._loop)
-        self.sight, self.worth = self._home.retry_detector, self._home.worth
+        self._router = CallRouter(self._loop)
+        self.sight, self.worth = self._router.retry_detector, self._router.worth
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
         """Handles the events in order and returns the resulting actions; `now` is in nanoseconds."""
         loop = self._loop
         loop.now = now
         for event in events:
-            loop.post(self._home, event)
+            loop.post(self._router, event)
             loop.run()
         actions, loop.actions = loop.actions, []
         return actions
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -868,7 +868,7 @@
     monkeypatch.setattr(controller, "handle", ignore)
     caller = harness.caller(invite(X_Timer_Ms="300"))
     harness.advance(300)
-    assert caller.statuses() == [500] and controller._home.calls == {}
+    assert caller.statuses() == [500] and controller._router.calls == {}
 
 
 def apply_feed_event(harness: Harness, n: int, *hosts: dict[str, Any]) -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -507,7 +507,7 @@
     agent.handle_at(5, api.Listed("delta", (api.Entry("x0", 0, "ready", 5 * MS),)))
     if reported is not None:
         agent.handle_at(6, api.Reported("x2", "served", 0, {"rate": reported}))
-    agent.controller._home.exchanges_by_number[0].start_known_at = -(
+    agent.controller._router.exchanges_by_number[0].start_known_at = -(
         1 << 60
     )  # the assumed set-up is long past
     setups = 0
@@ -605,7 +605,7 @@
 
 def test_the_retry_budget_is_refilled_by_first_tries() -> None:
     agent = Agent()
-    home = agent.controller._home
+    home = agent.controller._router
     home.retry_budget = 0.0
     for call in range(20):
         agent.call(call * 100, call)
@@ -615,7 +615,7 @@
 
 def test_a_replaced_exchange_is_dropped_and_its_circuits_count_once() -> None:
     agent = Agent()
-    home = agent.controller._home
+    home = agent.controller._router
     circuits = home.circuits
     for number in range(30):
         agent.call(number * 1000, number, to=1)
