--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -263,9 +263,9 @@
     MIN_DECREASE_INTERVAL = SECOND // 2  # ns; set-ups sent before a decrease do not show its effect
     EARLY_TIMEOUT_QUANTILE = 0.9  # an early time-out is at least twice this quantile of the set-up delay
 
-    def __init__(self, loop: Loop, home: CallRouter, name: str) -> None:
+    def __init__(self, loop: Loop, router: CallRouter, name: str) -> None:
         super().__init__(loop)
-        self.home = home
+        self.router = router
         self.name = name
         self.number = -1
         self.state = "gone"
@@ -280,7 +280,7 @@
     def receive(self, message: Message) -> None:
         match message:
             case AdmissionRequest():
-                self.loop.post(self.home, AdmissionResponse(message, self, self.admits(message)))
+                self.loop.post(self.router, AdmissionResponse(message, self, self.admits(message)))
             case SetUpSent(is_outstanding):
                 self.out += is_outstanding
                 if self.loop.now < self.cold_until:
@@ -293,11 +293,11 @@
             case api.Reported() | api.TryEnded():
                 self.free_circuits = int(message.load.get("free", self.free_circuits))
                 self.group_size = int(message.load.get("size", self.group_size))
-                self.home.max_setup_rate = max(self.home.max_setup_rate, message.load.get("rate", 0.0))
+                self.router.max_setup_rate = max(self.router.max_setup_rate, message.load.get("rate", 0.0))
 
     def told(self, entry: api.Entry) -> None:
         """Applies this exchange's entry of the exchange list."""
-        if self.number < 0 and entry.number == self.home.own_number:
+        if self.number < 0 and entry.number == self.router.own_number:
             self.window = 2 * self.INITIAL_WINDOW  # a restart during a storm must not add a burst
         self.number, self.state = entry.number, entry.state
         cold_until = entry.started_at + self.loop.settings.get("cold_time", 0) if entry.started_at else 0
@@ -311,23 +311,23 @@
         A queue at the exchange delays many set-ups, so there is one decrease per `MIN_DECREASE_INTERVAL`.
         """
         now = self.loop.now
-        in_time = finished.outcome == "answered" and finished.elapsed <= self.home.late_after
-        if self.number == self.home.own_number:
+        in_time = finished.outcome == "answered" and finished.elapsed <= self.router.late_after
+        if self.number == self.router.own_number:
             # Guards against a metastable overload: callers' repeats keep the network overloaded after its
             # cause has gone.
             if in_time:
-                self.window = min(self.home.max_window(1), self.window * (1 + self.OWN_WINDOW_STEP))
+                self.window = min(self.router.max_window(1), self.window * (1 + self.OWN_WINDOW_STEP))
             elif (
                 finished.outcome in ("answered", "unanswered")
-                and self.home.late_share(0.25) > self.home.MAX_LATE_SHARE
+                and self.router.late_share(0.25) > self.router.MAX_LATE_SHARE
             ):
                 self.window = max(1.0, min(self.window, self.out + 1) * (1 - self.OWN_WINDOW_STEP))
             return
         if finished.outcome == "answered":
-            self.delays.add(now, finished.elapsed / self.home.target)
+            self.delays.add(now, finished.elapsed / self.router.target)
         if in_time:
             self.answered_in_time_at = now
-            max_window = self.home.max_window(self.home.peer_agents)
+            max_window = self.router.max_window(self.router.peer_agents)
             self.window = min(max_window, self.window + min(self.window, 1 / self.window))
         elif finished.outcome == "unanswered" and now - finished.elapsed < self.answered_in_time_at:
             pass  # only this message was lost: the exchange has answered in time since it was sent
@@ -356,10 +356,10 @@
         The GoS target must leave time for the release and a second try; a slow exchange gets no early
         time-out.
         """
-        target = self.home.target
+        target = self.router.target
         few = sum(self.delays.bins) < DelayHistogram.MIN_WEIGHT  # then the delays of all exchanges are used
         usual_delay = (
-            min(1.0, (self.home if few else self).delays.quantile(self.EARLY_TIMEOUT_QUANTILE)) * target
+            min(1.0, (self.router if few else self).delays.quantile(self.EARLY_TIMEOUT_QUANTILE)) * target
         )
         timeout = target - self.loop.settings.get("release_time", 0) - usual_delay
         return int(timeout) if timeout >= 2 * usual_delay else 0
@@ -369,7 +369,7 @@
 
         True where nothing is known of the group yet: a set-up without circuits comes back without being sent.
         """
-        own = self.number == self.home.own_number
+        own = self.number == self.router.own_number
         return self.state == "ready" and not own and (self.group_size < 0 or self.free_circuits >= circuits)
 
     def has_cold_budget(self, own: bool) -> bool:
@@ -381,9 +381,11 @@
         between them is assumed.
         """
         get = self.loop.settings.get
-        rate = self.home.circuits / self.home.holding_time
-        if self.home.max_setup_rate:  # trunk groups may carry more than the processors behind them can set up
-            rate = min(rate, self.home.max_setup_rate / SECOND)
+        rate = self.router.circuits / self.router.holding_time
+        if (
+            self.router.max_setup_rate
+        ):  # trunk groups may carry more than the processors behind them can set up
+            rate = min(rate, self.router.max_setup_rate / SECOND)
         carried = rate * get("fall_time", 0)
         initial, remaining = (
             get("cold_from", 1),
@@ -392,7 +394,7 @@
         budget: float = (
             get("fall_multiple", 1) * (initial + (1 - initial) / 2 * (1 - remaining)) * carried / 2
         )
-        share = max(0.01, budget if own else budget / self.home.peer_agents)
+        share = max(0.01, budget if own else budget / self.router.peer_agents)
         window: float = get("fall_time", 0) / min(1.0, share)  # a share below 1: one set-up in a longer time
         while self.cold_setups and self.cold_setups[0] <= self.loop.now - window:
             self.cold_setups.popleft()
@@ -414,7 +416,7 @@
                 1.0, self.window + self.WINDOW_RECOVERY * (self.loop.now - self.window_fixed_until) / SECOND
             )
             self.window_fixed_until = self.loop.now
-        revenue = self.home.worth(call.arrival, call.attempt)
+        revenue = self.router.worth(call.arrival, call.attempt)
         excess = self.out + 1 - self.window * revenue
         return excess > 0 and self.loop.random() < excess
 
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -34,10 +34,10 @@
 
 
 def test_congestion_stays_with_storm_protection_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    home = control.CallRouter
-    monkeypatch.setattr(home, "worth", lambda self, asked, seen: self.revenue[asked.bearer_type])
-    monkeypatch.setattr(home, "come_back", lambda self, asked, seen, most: self.target // 3)
-    monkeypatch.setattr(home, "FURTHER", 1.0)
+    router = control.CallRouter
+    monkeypatch.setattr(router, "worth", lambda self, asked, seen: self.revenue[asked.bearer_type])
+    monkeypatch.setattr(router, "come_back", lambda self, asked, seen, most: self.target // 3)
+    monkeypatch.setattr(router, "FURTHER", 1.0)
     monkeypatch.setattr(shares.Demand, "divide", lambda self, now, share: None)
     monkeypatch.setattr(shares.Door, "notices", lambda self: {})
     assert any(fault.startswith("back to") for fault in faults(FOLDER / "jam.hcl"))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -605,18 +605,18 @@
 
 def test_the_retry_budget_is_refilled_by_first_tries() -> None:
     agent = Agent()
-    home = agent.controller._router
-    home.retry_budget = 0.0
+    router = agent.controller._router
+    router.retry_budget = 0.0
     for call in range(20):
         agent.call(call * 100, call)
         agent.answered(call * 100 + 50, call, 1)
-    assert 1.9 < home.retry_budget < 2.1
+    assert 1.9 < router.retry_budget < 2.1
 
 
 def test_a_replaced_exchange_is_dropped_and_its_circuits_count_once() -> None:
     agent = Agent()
-    home = agent.controller._router
-    circuits = home.circuits
+    router = agent.controller._router
+    circuits = router.circuits
     for number in range(30):
         agent.call(number * 1000, number, to=1)
         name = "x1" if number == 0 else f"r{number}"
@@ -626,8 +626,8 @@
         agent.handle_at(number * 1000 + 20, api.Reported(new, "served", 0, {"free": 30, "size": 30}))
         agent.handle_at(number * 1000 + 30, api.Listed("delta", (api.Entry(name, 1, "gone"),)))
     agent.handle_at(40_000, api.Listed("delta", ()))
-    assert (len(home.exchanges), home.circuits) == (4, circuits)
-    assert len(home.statistics) <= 1
+    assert (len(router.exchanges), router.circuits) == (4, circuits)
+    assert len(router.statistics) <= 1
 
 
 @pytest.mark.parametrize(
