--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -353,7 +353,7 @@
 def cost() -> None:
     """Time that storm detection and gateway admission take for one call."""
     for gateways, held in ((1, 0), (1, 20_000), (100, 20_000), (1000, 20_000)):
-        detector, storm_watch, admission = sight.Sight(9 * SECOND), watch.Watch(), shares.Door()
+        detector, storm_watch, admission = sight.RetryDetector(9 * SECOND), watch.Watch(), shares.Door()
         rng = random.Random(1)
         for number in range(held):
             key = (f"<g{number % gateways}>", "line", 5, f"n{number}")
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -35,7 +35,7 @@
 from math import inf
 
 from peattrestle import interface as api
-from peattrestle.storms.sight import RequestKey, Seen, Sight
+from peattrestle.storms.sight import RequestKey, RetryDetector, Seen
 
 SECOND = 1_000_000_000  # nanoseconds
 
@@ -479,7 +479,7 @@
         self.delays = DelayHistogram()
         self.follows_list = False
         self.lost_setups, self.lost_halved_at = 0.0, 0
-        self.retry_detector = Sight(
+        self.retry_detector = RetryDetector(
             max((int(get(f"abandon_time:{name}", SECOND)) for name in types), default=SECOND)
         )
 
--- a/peattrestle/storms/sight.py
+++ b/peattrestle/storms/sight.py
@@ -47,7 +47,7 @@
     due_at: int = 0
 
 
-class Sight:
+class RetryDetector:
     """Classifies the calls of one agent as first or further tries.
 
     abandon_time: nanoseconds from its first try after which a caller gives up for good.
--- a/tests/storms/test_sight.py
+++ b/tests/storms/test_sight.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from peattrestle.storms.sight import FIRST, FURTHER, MAX_PER_REQUEST, RETURNED, RequestKey, Sight
+from peattrestle.storms.sight import FIRST, FURTHER, MAX_PER_REQUEST, RETURNED, RequestKey, RetryDetector
 
 MS = 1_000_000
 KEY: RequestKey = ("<g1>", "line", 5, "dn.5.1")
 ABANDON_TIME = 9_000 * MS
 
 
-def make_detector(max_unserved: int = 100) -> Sight:
-    return Sight(ABANDON_TIME, max_unserved)
+def make_detector(max_unserved: int = 100) -> RetryDetector:
+    return RetryDetector(ABANDON_TIME, max_unserved)
 
 
 def refuse(
-    detector: Sight, at: int, key: RequestKey = KEY, retry_after: int = 0, marked: bool = False
+    detector: RetryDetector, at: int, key: RequestKey = KEY, retry_after: int = 0, marked: bool = False
 ) -> None:
     detector.unserved(at, key, detector.asked(at, key, marked, False), retry_after)
 
