--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -357,7 +357,7 @@
         rng = random.Random(1)
         for number in range(held):
             key = (f"<g{number % gateways}>", "line", 5, f"n{number}")
-            detector.unserved(0, key, detector.asked(0, key, False, False), 500 * MS)
+            detector.unserved(0, key, detector.classify(0, key, False, False), 500 * MS)
         events, best_seconds = 20_000, 1e9
         for _ in range(3):
             started = time.perf_counter()
@@ -365,7 +365,7 @@
                 now = number * MS // 10
                 name = f"<g{number % gateways}>"
                 key = (name, "line", 5, f"n{number % 40_000}")
-                seen = detector.asked(now, key, False, False)
+                seen = detector.classify(now, key, False, False)
                 storm_watch.call(now, seen)
                 if not admission.lets(now, name, 1.0, rng.random()) or number % 2:
                     detector.unserved(now, key, seen, 500 * MS)
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -594,7 +594,7 @@
             None
             if arrival.transit
             else arrival.seen
-            or self.retry_detector.asked(
+            or self.retry_detector.classify(
                 self.loop.now, self.request_key(arrival), arrival.repeat, arrival.cut_before
             )
         )
--- a/peattrestle/storms/sight.py
+++ b/peattrestle/storms/sight.py
@@ -60,7 +60,7 @@
         self._order: deque[tuple[int, RequestKey]] = deque()
         self._marking: OrderedDict[str, None] = OrderedDict()  # gateways that have marked a further try
 
-    def asked(self, now: int, key: RequestKey, marked: bool, was_cut: bool) -> Seen:
+    def classify(self, now: int, key: RequestKey, marked: bool, was_cut: bool) -> Seen:
         """Classifies a new call; a further try takes the place of the unserved try before it."""
         self._forget_expired(now)
         if was_cut:
--- a/tests/storms/test_sight.py
+++ b/tests/storms/test_sight.py
@@ -18,7 +18,7 @@
 def refuse(
     detector: RetryDetector, at: int, key: RequestKey = KEY, retry_after: int = 0, marked: bool = False
 ) -> None:
-    detector.unserved(at, key, detector.asked(at, key, marked, False), retry_after)
+    detector.unserved(at, key, detector.classify(at, key, marked, False), retry_after)
 
 
 @pytest.mark.parametrize(
@@ -41,24 +41,26 @@
     detector = make_detector()
     for earlier in earlier_tries:
         refuse(detector, earlier * MS)
-    seen = detector.asked(at * MS, key, marked, cut)
+    seen = detector.classify(at * MS, key, marked, cut)
     assert (seen.kind, seen.first_at) == (kind, first_at * MS if first_at >= 0 else -1)
 
 
 def test_each_refused_call_explains_one_further_try() -> None:
     detector = make_detector()
-    assert [detector.asked(at, KEY, False, False).kind for at in range(3)] == [FIRST] * 3  # a popular number
+    assert [detector.classify(at, KEY, False, False).kind for at in range(3)] == [
+        FIRST
+    ] * 3  # a popular number
     refuse(detector, 10)
-    assert [detector.asked(at, KEY, False, False).kind for at in (20, 21)] == [FURTHER, FIRST]
+    assert [detector.classify(at, KEY, False, False).kind for at in (20, 21)] == [FURTHER, FIRST]
 
 
 def test_tries_and_advice_are_carried_over_to_the_further_try() -> None:
     detector = make_detector()
     refuse(detector, 0, retry_after=500)
-    again = detector.asked(300, KEY, False, False)
+    again = detector.classify(300, KEY, False, False)
     assert (again.tries, again.advised_at, again.due_at) == (2, 0, 500)
     detector.unserved(300, KEY, again, 0)
-    third = detector.asked(900, KEY, False, False)
+    third = detector.classify(900, KEY, False, False)
     assert (third.tries, third.first_at, third.due_at) == (3, 0, 0)
 
 
@@ -66,14 +68,14 @@
     detector = make_detector()
     refuse(detector, 0)
     refuse(detector, 5000 * MS)
-    assert detector.asked(9500 * MS, KEY, False, False).kind == FIRST
+    assert detector.classify(9500 * MS, KEY, False, False).kind == FIRST
 
 
 def test_unmarked_calls_of_a_gateway_that_marks_are_first_ones() -> None:
     detector = make_detector()
     refuse(detector, 0, marked=True)
-    assert detector.asked(10, KEY, False, False).kind == FIRST
-    assert detector.asked(20, KEY, True, False).first_at == 0
+    assert detector.classify(10, KEY, False, False).kind == FIRST
+    assert detector.classify(20, KEY, True, False).first_at == 0
 
 
 def test_memory_is_bounded() -> None:
@@ -81,11 +83,11 @@
     for at in range(1000):
         refuse(detector, at * MS, ("g", "line", 5, str(at)))
     assert detector.unserved_count <= 50
-    assert detector.asked(1000 * MS, ("g", "line", 5, "999"), False, False).kind == FURTHER
-    assert detector.asked(1000 * MS, ("g", "line", 5, "10"), False, False).kind == FIRST  # forgotten
+    assert detector.classify(1000 * MS, ("g", "line", 5, "999"), False, False).kind == FURTHER
+    assert detector.classify(1000 * MS, ("g", "line", 5, "10"), False, False).kind == FIRST  # forgotten
     for at in range(100):
-        detector.unserved(1000 * MS + at, KEY, detector.asked(0, ("g", "line", 5, "x"), False, False), 0)
-    kinds = [detector.asked(1001 * MS, KEY, False, False).kind for _ in range(20)]
+        detector.unserved(1000 * MS + at, KEY, detector.classify(0, ("g", "line", 5, "x"), False, False), 0)
+    kinds = [detector.classify(1001 * MS, KEY, False, False).kind for _ in range(20)]
     assert kinds.count(FURTHER) == MAX_PER_REQUEST
-    detector.asked(20_000 * MS, KEY, False, False)
+    detector.classify(20_000 * MS, KEY, False, False)
     assert detector.unserved_count == 0
