--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -357,7 +357,7 @@
         rng = random.Random(1)
         for number in range(held):
             key = (f"<g{number % gateways}>", "line", 5, f"n{number}")
-            detector.unserved(0, key, detector.classify(0, key, False, False), 500 * MS)
+            detector.record_unserved(0, key, detector.classify(0, key, False, False), 500 * MS)
         events, best_seconds = 20_000, 1e9
         for _ in range(3):
             started = time.perf_counter()
@@ -368,7 +368,7 @@
                 seen = detector.classify(now, key, False, False)
                 storm_watch.call(now, seen)
                 if not admission.lets(now, name, 1.0, rng.random()) or number % 2:
-                    detector.unserved(now, key, seen, 500 * MS)
+                    detector.record_unserved(now, key, seen, 500 * MS)
                     admission.refused(now)
                 else:
                     admission.stood(now)
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -771,7 +771,9 @@
 
     def remember_unserved(self, arrival: api.CallArrived, attempt: Seen | None, retry_after: int = 0) -> None:
         if attempt is not None:
-            self.retry_detector.unserved(self.loop.now, self.request_key(arrival), attempt, retry_after)
+            self.retry_detector.record_unserved(
+                self.loop.now, self.request_key(arrival), attempt, retry_after
+            )
 
     def is_repeatable(self, call: Call) -> bool:
         """Whether no try can have been executed, or executing it twice does no harm (rule 2)."""
--- a/peattrestle/storms/sight.py
+++ b/peattrestle/storms/sight.py
@@ -81,7 +81,7 @@
                 return Seen(FURTHER, previous.first_at, previous.tries + 1, *advice)
         return Seen(FURTHER, -1, 2) if marked else Seen(FIRST, now)
 
-    def unserved(self, now: int, key: RequestKey, attempt: Seen, retry_after: int) -> None:
+    def record_unserved(self, now: int, key: RequestKey, attempt: Seen, retry_after: int) -> None:
         """Remembers a call that was not set up, as its caller may try again.
 
         retry_after: nanoseconds after which the caller was advised to retry, 0 where it got no advice.
--- a/tests/storms/test_sight.py
+++ b/tests/storms/test_sight.py
@@ -18,7 +18,7 @@
 def refuse(
     detector: RetryDetector, at: int, key: RequestKey = KEY, retry_after: int = 0, marked: bool = False
 ) -> None:
-    detector.unserved(at, key, detector.classify(at, key, marked, False), retry_after)
+    detector.record_unserved(at, key, detector.classify(at, key, marked, False), retry_after)
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
     refuse(detector, 0, retry_after=500)
     again = detector.classify(300, KEY, False, False)
     assert (again.tries, again.advised_at, again.due_at) == (2, 0, 500)
-    detector.unserved(300, KEY, again, 0)
+    detector.record_unserved(300, KEY, again, 0)
     third = detector.classify(900, KEY, False, False)
     assert (third.tries, third.first_at, third.due_at) == (3, 0, 0)
 
@@ -86,7 +86,9 @@
     assert detector.classify(1000 * MS, ("g", "line", 5, "999"), False, False).kind == FURTHER
     assert detector.classify(1000 * MS, ("g", "line", 5, "10"), False, False).kind == FIRST  # forgotten
     for at in range(100):
-        detector.unserved(1000 * MS + at, KEY, detector.classify(0, ("g", "line", 5, "x"), False, False), 0)
+        detector.record_unserved(
+            1000 * MS + at, KEY, detector.classify(0, ("g", "line", 5, "x"), False, False), 0
+        )
     kinds = [detector.classify(1001 * MS, KEY, False, False).kind for _ in range(20)]
     assert kinds.count(FURTHER) == MAX_PER_REQUEST
     detector.classify(20_000 * MS, KEY, False, False)
