--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -8,7 +8,7 @@
 from peattrestle.calls import core
 from peattrestle.h248.package import SetUpAsked
 from peattrestle.runtime import Timer
-from peattrestle.storms.sight import Seen
+from peattrestle.storms.sight import CallerAttempt
 
 if TYPE_CHECKING:
     from peattrestle.agent.link import Link
@@ -41,4 +41,4 @@
     asked: SetUpAsked
     pending_timer: Timer | None = None
     over_share: bool = False  # not admitted: its gateway is over its share
-    seen: Seen | None = None  # first try or retry; None in transit
+    seen: CallerAttempt | None = None  # first try or retry; None in transit
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -35,7 +35,7 @@
 from math import inf
 
 from peattrestle import interface as api
-from peattrestle.storms.sight import RequestKey, RetryDetector, Seen
+from peattrestle.storms.sight import CallerAttempt, RequestKey, RetryDetector
 
 SECOND = 1_000_000_000  # nanoseconds
 
@@ -428,7 +428,7 @@
     arrival: api.CallArrived
     arrived_at: int
     destination: Exchange
-    attempt: Seen | None = None  # first or further try of its caller; None in transit
+    attempt: CallerAttempt | None = None  # first or further try of its caller; None in transit
     routes: deque[Exchange] = field(default_factory=deque)  # still to be tried, in order
     pending_route: Exchange | None = None  # where the one route try in progress was sent
     tries: int = 0
@@ -544,7 +544,7 @@
         ):
             self.request_admission(call)
 
-    def worth(self, asked: api.CallArrived, seen: Seen | None) -> float:
+    def worth(self, asked: api.CallArrived, seen: CallerAttempt | None) -> float:
         """Expected revenue of the call, relative to the mean revenue.
 
         Guards first tries against further tries that can no longer be answered within the GoS target.
@@ -736,7 +736,7 @@
             self.remember_unserved(call.arrival, call.attempt)
             self.loop.actions.append(api.Abort(call.arrival.call))
 
-    def refuse(self, arrival: api.CallArrived, attempt: Seen | None, wait: int = 0) -> None:
+    def refuse(self, arrival: api.CallArrived, attempt: CallerAttempt | None, wait: int = 0) -> None:
         """Blocks the call, with advice when to retry.
 
         wait: nanoseconds to advise; 0 for the delay that `come_back` gives.
@@ -747,7 +747,7 @@
         self.remember_unserved(arrival, attempt, retry_after)
         self.loop.actions.append(api.Block(arrival.call, retry_after))
 
-    def come_back(self, asked: api.CallArrived, seen: Seen | None, most: int) -> int:
+    def come_back(self, asked: api.CallArrived, seen: CallerAttempt | None, most: int) -> int:
         """Nanoseconds after which the caller of a refused call should retry.
 
         Short while the caller can still be answered within the GoS target. Later callers get a time slot
@@ -769,7 +769,9 @@
         self.next_return_slot_at = slot_at + slot_length
         return slot_at + int(draw * slot_length) - now
 
-    def remember_unserved(self, arrival: api.CallArrived, attempt: Seen | None, retry_after: int = 0) -> None:
+    def remember_unserved(
+        self, arrival: api.CallArrived, attempt: CallerAttempt | None, retry_after: int = 0
+    ) -> None:
         if attempt is not None:
             self.retry_detector.record_unserved(
                 self.loop.now, self.request_key(arrival), attempt, retry_after
--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from peattrestle.storms.sight import Seen
+from peattrestle.storms.sight import CallerAttempt
 
 Settings = Mapping[str, Any]
 Load = Mapping[str, float]  # 'free' and 'size' in circuits, 'rate' in set-ups per second; each may be missing
@@ -66,7 +66,7 @@
     customer: str = ""
     gateway: str = ""
     held: bool = False
-    seen: Seen | None = None
+    seen: CallerAttempt | None = None
 
 
 @dataclass(slots=True, frozen=True)
--- a/peattrestle/storms/sight.py
+++ b/peattrestle/storms/sight.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class CallerAttempt:
     """How a call was classified. Times in nanoseconds.
 
     kind: `FIRST`, `FURTHER` or `RETURNED`. first_at: when the first try of its caller came, -1 where that is
@@ -60,17 +60,17 @@
         self._order: deque[tuple[int, RequestKey]] = deque()
         self._marking: OrderedDict[str, None] = OrderedDict()  # gateways that have marked a further try
 
-    def classify(self, now: int, key: RequestKey, marked: bool, was_cut: bool) -> Seen:
+    def classify(self, now: int, key: RequestKey, marked: bool, was_cut: bool) -> CallerAttempt:
         """Classifies a new call; a further try takes the place of the unserved try before it."""
         self._forget_expired(now)
         if was_cut:
-            return Seen(RETURNED, now)
+            return CallerAttempt(RETURNED, now)
         if marked:
             self._remember_marking(key[0])
         elif key[0] in self._marking:
             # This gateway marks further tries, so this is a first one. A gateway that omits marks to gain
             # by it still gets no more than its share.
-            return Seen(FIRST, now)
+            return CallerAttempt(FIRST, now)
         while (previous := self._take(key)) is not None:
             if now < previous.first_at + self.abandon_time:
                 advice = (
@@ -78,10 +78,10 @@
                     if previous.retry_after
                     else (0, 0)
                 )
-                return Seen(FURTHER, previous.first_at, previous.tries + 1, *advice)
-        return Seen(FURTHER, -1, 2) if marked else Seen(FIRST, now)
+                return CallerAttempt(FURTHER, previous.first_at, previous.tries + 1, *advice)
+        return CallerAttempt(FURTHER, -1, 2) if marked else CallerAttempt(FIRST, now)
 
-    def record_unserved(self, now: int, key: RequestKey, attempt: Seen, retry_after: int) -> None:
+    def record_unserved(self, now: int, key: RequestKey, attempt: CallerAttempt, retry_after: int) -> None:
         """Remembers a call that was not set up, as its caller may try again.
 
         retry_after: nanoseconds after which the caller was advised to retry, 0 where it got no advice.
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from peattrestle.storms.decaying_statistics import SECOND, DecayingCounter, Histogram
-from peattrestle.storms.sight import FIRST, FURTHER, Seen
+from peattrestle.storms.sight import FIRST, FURTHER, CallerAttempt
 
 RETRY, RETURN, RECONNECT = "retry", "return", "reconnect"
 HALF_LIFE = SECOND  # ns, of the rates: a storm is detected within a second or two
@@ -93,7 +93,7 @@
         if len(self._last_cuts) > self.MAX_CUTS:
             self._last_cuts.popitem(last=False)
 
-    def call(self, now: int, seen: Seen, gateway: str = "") -> None:
+    def call(self, now: int, seen: CallerAttempt, gateway: str = "") -> None:
         """Counts a call by its classification."""
         if seen.kind == FIRST:
             self.first.add(now)
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -12,7 +12,7 @@
 from peattrestle.storms.notice import Notices
 from peattrestle.storms.restarts import Gate, waiting_delay
 from peattrestle.storms.shares import Door, max_min
-from peattrestle.storms.sight import FIRST, FURTHER, RETURNED, Seen
+from peattrestle.storms.sight import FIRST, FURTHER, RETURNED, CallerAttempt
 from peattrestle.storms.watch import RECONNECT, RETRY, RETURN, Watch
 
 MS = 1_000_000
@@ -41,7 +41,11 @@
     gateways).
     """
     watch, changes = Watch(), []
-    seen = {FIRST: Seen(FIRST, 0), FURTHER: Seen(FURTHER, 0, 2), RETURNED: Seen(RETURNED, 0)}
+    seen = {
+        FIRST: CallerAttempt(FIRST, 0),
+        FURTHER: CallerAttempt(FURTHER, 0, 2),
+        RETURNED: CallerAttempt(RETURNED, 0),
+    }
     for second, counts in enumerate(seconds):
         for step in range(20):
             now = second * SECOND + step * 50 * MS
@@ -93,7 +97,7 @@
 def test_a_storm_reports_its_size_and_evidence() -> None:
     watch = Watch()
     for at in range(0, 4000, 20):
-        watch.call(at * MS, Seen(FURTHER, 0, 3, 1, 500 * MS))
+        watch.call(at * MS, CallerAttempt(FURTHER, 0, 3, 1, 500 * MS))
         watch.look(at * MS)
     storm = watch.states[RETRY].storm
     assert storm is not None and storm.size > 100 and storm.peak > 40
