--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -32,7 +32,7 @@
 from peattrestle.rehearsal import script as scripts
 from peattrestle.rehearsal.play import Player, Result
 from peattrestle.standin.callers import service
-from peattrestle.storms import shares, sight, watch
+from peattrestle.storms import retry_detection, shares, watch
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -353,7 +353,11 @@
 def cost() -> None:
     """Time that storm detection and gateway admission take for one call."""
     for gateways, held in ((1, 0), (1, 20_000), (100, 20_000), (1000, 20_000)):
-        detector, storm_watch, admission = sight.RetryDetector(9 * SECOND), watch.Watch(), shares.Door()
+        detector, storm_watch, admission = (
+            retry_detection.RetryDetector(9 * SECOND),
+            watch.Watch(),
+            shares.Door(),
+        )
         rng = random.Random(1)
         for number in range(held):
             key = (f"<g{number % gateways}>", "line", 5, f"n{number}")
--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -8,7 +8,7 @@
 from peattrestle.calls import core
 from peattrestle.h248.package import SetUpAsked
 from peattrestle.runtime import Timer
-from peattrestle.storms.sight import CallerAttempt
+from peattrestle.storms.retry_detection import CallerAttempt
 
 if TYPE_CHECKING:
     from peattrestle.agent.link import Link
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -35,7 +35,7 @@
 from math import inf
 
 from peattrestle import interface as api
-from peattrestle.storms.sight import CallerAttempt, RequestKey, RetryDetector
+from peattrestle.storms.retry_detection import CallerAttempt, RequestKey, RetryDetector
 
 SECOND = 1_000_000_000  # nanoseconds
 
--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from peattrestle.storms.sight import CallerAttempt
+from peattrestle.storms.retry_detection import CallerAttempt
 
 Settings = Mapping[str, Any]
 Load = Mapping[str, float]  # 'free' and 'size' in circuits, 'rate' in set-ups per second; each may be missing
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from peattrestle.storms.decaying_statistics import SECOND, DecayingCounter, Histogram
-from peattrestle.storms.sight import FIRST, FURTHER, CallerAttempt
+from peattrestle.storms.retry_detection import FIRST, FURTHER, CallerAttempt
 
 RETRY, RETURN, RECONNECT = "retry", "return", "reconnect"
 HALF_LIFE = SECOND  # ns, of the rates: a storm is detected within a second or two
--- a/tests/storms/test_sight.py
+++ b/tests/storms/test_sight.py
@@ -4,7 +4,14 @@
 
 import pytest
 
-from peattrestle.storms.sight import FIRST, FURTHER, MAX_PER_REQUEST, RETURNED, RequestKey, RetryDetector
+from peattrestle.storms.retry_detection import (
+    FIRST,
+    FURTHER,
+    MAX_PER_REQUEST,
+    RETURNED,
+    RequestKey,
+    RetryDetector,
+)
 
 MS = 1_000_000
 KEY: RequestKey = ("<g1>", "line", 5, "dn.5.1")
