--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -78,7 +78,7 @@
         )
         self.settings = settings
         self.store = store or listing.Store()
-        self.retry_detector = self.controller.sight
+        self.retry_detector = self.controller.retry_detector
         self.mid = f"<{settings.label}>"
         self.started_at = kernel.now()
         # The start time keeps termination names and transaction ids of this run apart from an earlier run's.
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -871,14 +871,14 @@
 class Controller:
     """Makes the decisions of one call agent; the same seed, settings and events lead to the same actions.
 
-    `sight` and `worth` are what the agent uses before it passes a call on: the
+    `retry_detector` and `worth` are what the agent uses before it passes a call on: the
     detection of further tries, and the expected revenue of a call.
     """
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
         self._loop = Loop(seed, settings)
         self._router = CallRouter(self._loop)
-        self.sight, self.worth = self._router.retry_detector, self._router.worth
+        self.retry_detector, self.worth = self._router.retry_detector, self._router.worth
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
         """Handles the events in order and returns the resulting actions; `now` is in nanoseconds."""
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -87,7 +87,7 @@
 
     def __init__(self, agent: CallAgent) -> None:
         self.agent = agent
-        self.sight, self.worth = agent.controller.sight, agent.controller.worth
+        self.retry_detector, self.worth = agent.controller.retry_detector, agent.controller.worth
         self.arrivals: dict[int, api.CallArrived] = {}
 
     def handle(self, now: int, events: Any) -> list[api.Action]:
