--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -103,7 +103,7 @@
 
         `revenue`: the call's expected revenue; within a share, calls of higher revenue are admitted first.
         """
-        if self.door.lets(self.kernel.now(), gateway, revenue, self.rng.random()):
+        if self.door.admits(self.kernel.now(), gateway, revenue, self.rng.random()):
             return True
         self.count("held_to_share")
         return False
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/shares.py
@@ -115,7 +115,7 @@
         self.demands.pop(gateway, None)
         self.rate_limits.pop(gateway, None)
 
-    def lets(self, now: int, gateway: str, revenue: float, draw: float) -> bool:
+    def admits(self, now: int, gateway: str, revenue: float, draw: float) -> bool:
         """Counts a call of `gateway` and decides whether to admit it.
 
         revenue: expected revenue relative to the mean. draw: random number in [0, 1).
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -147,7 +147,7 @@
                 for revenue, rate in pairs:
                     if self.draw.random() >= rate * 0.01:
                         continue
-                    is_admitted = self.door.lets(self.now, name, revenue, self.draw.random())
+                    is_admitted = self.door.admits(self.now, name, revenue, self.draw.random())
                     if self.now > half:
                         offered[name, revenue] = offered.get((name, revenue), 0) + 1
                         admitted[name, revenue] = admitted.get((name, revenue), 0) + is_admitted
@@ -233,7 +233,7 @@
 def test_the_number_of_remembered_usual_rates_is_bounded() -> None:
     door = Door()
     for number in range(12_000):
-        door.lets(number * 250 * MS, f"g{number}", 1.0, 0.5)
+        door.admits(number * 250 * MS, f"g{number}", 1.0, 0.5)
         door.look((number + 1) * 250 * MS)
         door.gone(f"g{number}")
     assert 0 < len(door.usual_rates) <= door.MAX_USUAL_RATES
