--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -375,7 +375,7 @@
                     detector.record_unserved(now, key, seen, 500 * MS)
                     admission.refused(now)
                 else:
-                    admission.stood(now)
+                    admission.count_answered(now)
             best_seconds = min(best_seconds, time.perf_counter() - started)
         click.echo(f"{gateways:5d} gateways, {held:6d} kept: {best_seconds / events * 1e6:.1f} us a call")
 
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -401,7 +401,7 @@
             call.pending_timer.cancel()
         self.counts.add(("transit_" if call.asker is self.own_exchange else "") + final.kind)
         if call.asker is not self.own_exchange and final.kind == STOOD:
-            self.storms.door.stood(self.kernel.now())
+            self.storms.door.count_answered(self.kernel.now())
         elif call.asker is not self.own_exchange and not call.over_share:
             self.storms.door.refused(self.kernel.now())
         call.asker.reply(
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/shares.py
@@ -102,7 +102,7 @@
         self._threshold_passed_at = -1
         self._next_update_at = 0
 
-    def stood(self, now: int) -> None:
+    def count_answered(self, now: int) -> None:
         """Counts a call that was answered."""
         self.stands.add(now)
 
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -153,7 +153,7 @@
                         admitted[name, revenue] = admitted.get((name, revenue), 0) + is_admitted
                     if is_admitted and self.tokens >= 1:
                         self.tokens -= 1
-                        self.door.stood(self.now)
+                        self.door.count_answered(self.now)
                     elif is_admitted:
                         self.door.refused(self.now)
         return {key: admitted.get(key, 0) / count for key, count in offered.items()}
