--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -373,7 +373,7 @@
                 storm_watch.call(now, seen)
                 if not admission.admits(now, name, 1.0, rng.random()) or number % 2:
                     detector.record_unserved(now, key, seen, 500 * MS)
-                    admission.refused(now)
+                    admission.count_refused(now)
                 else:
                     admission.count_answered(now)
             best_seconds = min(best_seconds, time.perf_counter() - started)
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -403,7 +403,7 @@
         if call.asker is not self.own_exchange and final.kind == STOOD:
             self.storms.door.count_answered(self.kernel.now())
         elif call.asker is not self.own_exchange and not call.over_share:
-            self.storms.door.refused(self.kernel.now())
+            self.storms.door.count_refused(self.kernel.now())
         call.asker.reply(
             call.transaction,
             package.outcome_text(call.transaction, call.asked.termination, self.worded(call, final)),
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/shares.py
@@ -106,7 +106,7 @@
         """Counts a call that was answered."""
         self.stands.add(now)
 
-    def refused(self, now: int) -> None:
+    def count_refused(self, now: int) -> None:
         """Counts a call that was admitted here and refused by the controller."""
         self.refused_calls.add(now)
 
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -155,7 +155,7 @@
                         self.tokens -= 1
                         self.door.count_answered(self.now)
                     elif is_admitted:
-                        self.door.refused(self.now)
+                        self.door.count_refused(self.now)
         return {key: admitted.get(key, 0) / count for key, count in offered.items()}
 
 
