--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -65,7 +65,7 @@
                 self.log(
                     "warning" if self.door.held else "info",
                     "gateways limited to their shares" if self.door.held else "gateway limits lifted",
-                    carried=round(self.door.stands.rate(now), 1),
+                    carried=round(self.door.answered.rate(now), 1),
                     offered=round(self.watch.offered(now), 1),
                     turned_away=self.door.turned_away,
                 )
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/shares.py
@@ -91,7 +91,7 @@
         self.demands: dict[str, Demand] = {}
         self.usual_rates: dict[str, float] = {}  # calls per second by gateway, while none was limited
         self.rate_limits: dict[str, float] = {}  # calls per second by gateway, while any is limited
-        self.stands, self.admitted, self.refused_calls = (
+        self.answered, self.admitted, self.refused_calls = (
             DecayingCounter(2 * SECOND),
             DecayingCounter(HALF_LIFE),
             DecayingCounter(HALF_LIFE),
@@ -104,7 +104,7 @@
 
     def count_answered(self, now: int) -> None:
         """Counts a call that was answered."""
-        self.stands.add(now)
+        self.answered.add(now)
 
     def count_refused(self, now: int) -> None:
         """Counts a call that was admitted here and refused by the controller."""
@@ -134,7 +134,7 @@
     def max_rate(self, now: int) -> float:
         """Calls per second of all gateways; what is offered above that can only be repeats."""
         self._best_rate *= 0.5 ** ((now - self._best_at) / self.BEST_RATE_HALF_LIFE)
-        self._best_rate, self._best_at = max(self._best_rate, self.stands.rate(now)), now
+        self._best_rate, self._best_at = max(self._best_rate, self.answered.rate(now)), now
         return max(self.MIN_RATE, self.MAX_OVERLOAD_FACTOR * self._best_rate)
 
     def look(self, now: int) -> None:
