--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -59,12 +59,12 @@
             now = self.kernel.now()
             for storm in self.watch.look(now):
                 self.log_storm(storm)
-            was_limiting = self.door.held
+            was_limiting = self.door.is_limiting
             self.door.look(now)
-            if self.door.held != was_limiting:
+            if self.door.is_limiting != was_limiting:
                 self.log(
-                    "warning" if self.door.held else "info",
-                    "gateways limited to their shares" if self.door.held else "gateway limits lifted",
+                    "warning" if self.door.is_limiting else "info",
+                    "gateways limited to their shares" if self.door.is_limiting else "gateway limits lifted",
                     carried=round(self.door.answered.rate(now), 1),
                     offered=round(self.watch.offered(now), 1),
                     turned_away=self.door.turned_away,
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/shares.py
@@ -96,7 +96,7 @@
             DecayingCounter(HALF_LIFE),
             DecayingCounter(HALF_LIFE),
         )
-        self.held = False
+        self.is_limiting = False
         self.turned_away = 0
         self._best_rate, self._best_at = 0.0, 0
         self._threshold_passed_at = -1
@@ -125,7 +125,7 @@
             demand = self.demands[gateway] = Demand()
         demand.add(now, revenue)
         self.look(now)
-        if self.held and draw >= demand.admission_probability.get(revenue, 1.0):
+        if self.is_limiting and draw >= demand.admission_probability.get(revenue, 1.0):
             self.turned_away += 1
             return False
         self.admitted.add(now)
@@ -147,7 +147,7 @@
         self._next_update_at = now + self.UPDATE_INTERVAL
         admitted = self.admitted.rate(now)
         share = self.refused_calls.rate(now) / max(1e-9, admitted)
-        if self.held:
+        if self.is_limiting:
             # Without calls the share does not change, so a low rate of calls ends the limits as well.
             past_threshold, min_duration = (
                 share < self.END_SHARE or admitted < self.MIN_RATE / 2,
@@ -163,10 +163,10 @@
         elif self._threshold_passed_at < 0:
             self._threshold_passed_at = now
         if self._threshold_passed_at >= 0 and now - self._threshold_passed_at >= min_duration:
-            self.held, self._threshold_passed_at = not self.held, -1
+            self.is_limiting, self._threshold_passed_at = not self.is_limiting, -1
         offered = {name: demand.offered(now) for name, demand in self.demands.items()}
         max_rate = self.max_rate(now)
-        if self.held:
+        if self.is_limiting:
             self._divide(now, offered, max_rate)
         else:
             self._learn_usual_rates(offered)
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -162,7 +162,9 @@
 def test_no_gateway_is_limited_while_few_calls_are_refused() -> None:
     simulation = Simulation(capacity=40)
     shares = simulation.run(20, {"a": [(1.0, 30)], "b": [(1.0, 5)]})
-    assert not simulation.door.held and set(shares.values()) == {1.0} and simulation.door.notices() == {}
+    assert (
+        not simulation.door.is_limiting and set(shares.values()) == {1.0} and simulation.door.notices() == {}
+    )
 
 
 def test_a_flooding_gateway_is_limited_to_its_share_and_the_others_are_not() -> None:
@@ -179,7 +181,7 @@
     usual_rates = {name: [(1.0, 8.0)] for name in "abc"}
     simulation.run(10, usual_rates)
     shares = simulation.run(20, {name: [(1.0, 30.0)] for name in "abc"})
-    assert simulation.door.held and min(shares.values()) > 0.95
+    assert simulation.door.is_limiting and min(shares.values()) > 0.95
 
 
 def test_calls_of_higher_revenue_go_first_where_the_total_is_limited() -> None:
@@ -199,18 +201,18 @@
 def test_limits_end_after_the_overload() -> None:
     simulation = Simulation(capacity=20)
     simulation.run(10, {"a": [(1.0, 60)], "b": [(1.0, 5)]})
-    assert simulation.door.held
+    assert simulation.door.is_limiting
     simulation.run(10, {"a": [(1.0, 8)], "b": [(1.0, 5)]})
-    assert not simulation.door.held and simulation.door.notices() == {}
+    assert not simulation.door.is_limiting and simulation.door.notices() == {}
 
 
 def test_limits_end_where_nobody_calls_any_more() -> None:
     simulation = Simulation(capacity=20)
     simulation.run(10, {"a": [(1.0, 60)], "b": [(1.0, 5)]})
-    assert simulation.door.held
+    assert simulation.door.is_limiting
     for step in range(60):
         simulation.door.look(simulation.now + step * 250 * MS)
-    assert not simulation.door.held
+    assert not simulation.door.is_limiting
 
 
 def test_first_calls_are_not_limited_where_refusals_have_another_cause_than_load() -> None:
@@ -219,7 +221,7 @@
     simulation.run(20, {"a": [(1.0, 10)], "b": [(1.0, 10)]})
     simulation.capacity = simulation.tokens = 0.0
     shares = simulation.run(15, {"a": [(1.0, 10)], "b": [(1.0, 10)]})
-    assert simulation.door.held and min(shares.values()) > 0.95
+    assert simulation.door.is_limiting and min(shares.values()) > 0.95
 
 
 def test_a_disconnected_gateway_takes_no_share() -> None:
