--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -60,7 +60,7 @@
             for storm in self.watch.look(now):
                 self.log_storm(storm)
             was_limiting = self.door.is_limiting
-            self.door.look(now)
+            self.door.update(now)
             if self.door.is_limiting != was_limiting:
                 self.log(
                     "warning" if self.door.is_limiting else "info",
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/shares.py
@@ -124,7 +124,7 @@
         if demand is None:
             demand = self.demands[gateway] = Demand()
         demand.add(now, revenue)
-        self.look(now)
+        self.update(now)
         if self.is_limiting and draw >= demand.admission_probability.get(revenue, 1.0):
             self.turned_away += 1
             return False
@@ -137,7 +137,7 @@
         self._best_rate, self._best_at = max(self._best_rate, self.answered.rate(now)), now
         return max(self.MIN_RATE, self.MAX_OVERLOAD_FACTOR * self._best_rate)
 
-    def look(self, now: int) -> None:
+    def update(self, now: int) -> None:
         """Updates the state and the shares, once per `UPDATE_INTERVAL`.
 
         The work grows with the number of gateways.
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -211,7 +211,7 @@
     simulation.run(10, {"a": [(1.0, 60)], "b": [(1.0, 5)]})
     assert simulation.door.is_limiting
     for step in range(60):
-        simulation.door.look(simulation.now + step * 250 * MS)
+        simulation.door.update(simulation.now + step * 250 * MS)
     assert not simulation.door.is_limiting
 
 
@@ -236,7 +236,7 @@
     door = Door()
     for number in range(12_000):
         door.admits(number * 250 * MS, f"g{number}", 1.0, 0.5)
-        door.look((number + 1) * 250 * MS)
+        door.update((number + 1) * 250 * MS)
         door.gone(f"g{number}")
     assert 0 < len(door.usual_rates) <= door.MAX_USUAL_RATES
 
