--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -121,7 +121,7 @@
 
     def on_gateway_disconnected(self, requester: Requester) -> None:
         """Frees the gateway's share and forgets its rate notice."""
-        self.door.gone(requester.name)
+        self.door.remove_gateway(requester.name)
         self.notices.gone(requester.name)
 
     def restart_after(self, asker: Requester) -> int:
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/shares.py
@@ -110,7 +110,7 @@
         """Counts a call that was admitted here and refused by the controller."""
         self.refused_calls.add(now)
 
-    def gone(self, gateway: str) -> None:
+    def remove_gateway(self, gateway: str) -> None:
         """Forgets a gateway whose connection has ended; its share goes to the others at once."""
         self.demands.pop(gateway, None)
         self.rate_limits.pop(gateway, None)
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -227,7 +227,7 @@
 def test_a_disconnected_gateway_takes_no_share() -> None:
     simulation = Simulation(capacity=10)
     simulation.run(10, {"a": [(1.0, 30)], "b": [(1.0, 30)]})
-    simulation.door.gone("b")
+    simulation.door.remove_gateway("b")
     simulation.run(0.5, {"a": [(1.0, 30)]})
     assert set(simulation.door.notices()) == {"a"}
 
@@ -237,7 +237,7 @@
     for number in range(12_000):
         door.admits(number * 250 * MS, f"g{number}", 1.0, 0.5)
         door.update((number + 1) * 250 * MS)
-        door.gone(f"g{number}")
+        door.remove_gateway(f"g{number}")
     assert 0 < len(door.usual_rates) <= door.MAX_USUAL_RATES
 
 
