--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -32,7 +32,7 @@
 from peattrestle.rehearsal import script as scripts
 from peattrestle.rehearsal.play import Player, Result
 from peattrestle.standin.callers import service
-from peattrestle.storms import retry_detection, shares, watch
+from peattrestle.storms import gateway_admission, retry_detection, watch
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -61,12 +61,12 @@
 
 def without_door() -> None:
     """Gateways are not held to their shares."""
-    shares.Demand.divide = lambda self, now, share: None  # type: ignore[method-assign]
+    gateway_admission.Demand.divide = lambda self, now, share: None  # type: ignore[method-assign]
 
 
 def without_notices() -> None:
     """Gateways are not notified of their limits."""
-    shares.Door.notices = lambda self: {}  # type: ignore[method-assign]
+    gateway_admission.Door.notices = lambda self: {}  # type: ignore[method-assign]
 
 
 def without_gate() -> None:
@@ -356,7 +356,7 @@
         detector, storm_watch, admission = (
             retry_detection.RetryDetector(9 * SECOND),
             watch.Watch(),
-            shares.Door(),
+            gateway_admission.Door(),
         )
         rng = random.Random(1)
         for number in range(held):
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -20,8 +20,8 @@
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.settings.agent import Limits
 from peattrestle.storms import restarts
+from peattrestle.storms.gateway_admission import Door
 from peattrestle.storms.notice import Notice, Notices
-from peattrestle.storms.shares import Door
 from peattrestle.storms.watch import Storm, Watch
 
 MS = 1_000_000  # nanoseconds
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -12,7 +12,7 @@
 from peattrestle.rehearsal import script
 from peattrestle.rehearsal.play import Player
 from peattrestle.rehearsal.series import Series
-from peattrestle.storms import shares
+from peattrestle.storms import gateway_admission
 
 FOLDER = Path(__file__).parents[2] / "examples" / "storms"
 
@@ -38,8 +38,8 @@
     monkeypatch.setattr(router, "worth", lambda self, asked, seen: self.revenue[asked.bearer_type])
     monkeypatch.setattr(router, "come_back", lambda self, asked, seen, most: self.target // 3)
     monkeypatch.setattr(router, "FURTHER", 1.0)
-    monkeypatch.setattr(shares.Demand, "divide", lambda self, now, share: None)
-    monkeypatch.setattr(shares.Door, "notices", lambda self: {})
+    monkeypatch.setattr(gateway_admission.Demand, "divide", lambda self, now, share: None)
+    monkeypatch.setattr(gateway_admission.Door, "notices", lambda self: {})
     assert any(fault.startswith("back to") for fault in faults(FOLDER / "jam.hcl"))
 
 
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from peattrestle.storms.decaying_statistics import DecayingCounter, Histogram
+from peattrestle.storms.gateway_admission import Door, max_min
 from peattrestle.storms.notice import Notices
 from peattrestle.storms.restarts import Gate, waiting_delay
 from peattrestle.storms.retry_detection import FIRST, FURTHER, RETURNED, CallerAttempt
-from peattrestle.storms.shares import Door, max_min
 from peattrestle.storms.watch import RECONNECT, RETRY, RETURN, Watch
 
 MS = 1_000_000
