--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -355,7 +355,7 @@
     for gateways, held in ((1, 0), (1, 20_000), (100, 20_000), (1000, 20_000)):
         detector, storm_watch, admission = (
             retry_detection.RetryDetector(9 * SECOND),
-            watch.Watch(),
+            watch.StormDetector(),
             gateway_admission.Door(),
         )
         rng = random.Random(1)
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -22,7 +22,7 @@
 from peattrestle.storms import restarts
 from peattrestle.storms.gateway_admission import Door
 from peattrestle.storms.notice import Notice, Notices
-from peattrestle.storms.watch import Storm, Watch
+from peattrestle.storms.watch import Storm, StormDetector
 
 MS = 1_000_000  # nanoseconds
 CHECK_INTERVAL = 250 * MS  # nanoseconds
@@ -45,7 +45,7 @@
     ) -> None:
         self.kernel, self.limits, self.log, self.count = kernel, limits, log, count
         self.gateways = gateways
-        self.watch, self.door = Watch(), Door()
+        self.watch, self.door = StormDetector(), Door()
         # Sequence numbers start from the clock: notices of a new run must count as newer than the last one's.
         self.notices = Notices(kernel.now() // MS)
         self.restart_limiter = restarts.Gate(limits.restarts, max(1, limits.restarts // 4), limits.gateways)
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -27,7 +27,7 @@
 class Thresholds:
     """Thresholds of one kind of storm.
 
-    start_share, end_share: fractions, see `Watch.share`.
+    start_share, end_share: fractions, see `StormDetector.share`.
     min_rate: events per second below which no storm starts; a storm ends below half of it.
     start_after, end_after: ns for which a threshold must be passed.
     """
@@ -67,7 +67,7 @@
     passed_at: int = -1  # since when the threshold that would change the state has been passed; -1: it is not
 
 
-class Watch:
+class StormDetector:
     """Detects storms from every call and connection it is told of; `look` may be called at any interval."""
 
     def __init__(self) -> None:
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -13,7 +13,7 @@
 from peattrestle.storms.notice import Notices
 from peattrestle.storms.restarts import Gate, waiting_delay
 from peattrestle.storms.retry_detection import FIRST, FURTHER, RETURNED, CallerAttempt
-from peattrestle.storms.watch import RECONNECT, RETRY, RETURN, Watch
+from peattrestle.storms.watch import RECONNECT, RETRY, RETURN, StormDetector
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -40,7 +40,7 @@
     `seconds`: for each second the number of first, further and returned calls, and of connections (from 20
     gateways).
     """
-    watch, changes = Watch(), []
+    watch, changes = StormDetector(), []
     seen = {
         FIRST: CallerAttempt(FIRST, 0),
         FURTHER: CallerAttempt(FURTHER, 0, 2),
@@ -95,7 +95,7 @@
 
 
 def test_a_storm_reports_its_size_and_evidence() -> None:
-    watch = Watch()
+    watch = StormDetector()
     for at in range(0, 4000, 20):
         watch.call(at * MS, CallerAttempt(FURTHER, 0, 3, 1, 500 * MS))
         watch.look(at * MS)
