--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -57,7 +57,7 @@
         while True:
             yield from self.kernel.sleep(CHECK_INTERVAL)
             now = self.kernel.now()
-            for storm in self.watch.look(now):
+            for storm in self.watch.update(now):
                 self.log_storm(storm)
             was_limiting = self.door.is_limiting
             self.door.update(now)
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -68,7 +68,7 @@
 
 
 class StormDetector:
-    """Detects storms from every call and connection it is told of; `look` may be called at any interval."""
+    """Detects storms from every call and connection it is told of; `update` may be called at any interval."""
 
     def __init__(self) -> None:
         self.first, self.further = DecayingCounter(HALF_LIFE), DecayingCounter(HALF_LIFE)
@@ -149,7 +149,7 @@
         rate = (self.further if kind == RETRY else self.returned).rate(now)
         return rate / max(1e-9, self.offered(now)), rate
 
-    def look(self, now: int) -> list[Storm]:
+    def update(self, now: int) -> list[Storm]:
         """Storms that have started (`ended_at` 0) or ended since the last call."""
         changes = []
         for kind, state in self.states.items():
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -54,7 +54,7 @@
                     watch.call(now, seen[kind])
             for _ in range(counts[3] * (step + 1) // 20 - counts[3] * step // 20):
                 watch.connected(now, 20, 500 * MS)
-            for storm in watch.look(now):
+            for storm in watch.update(now):
                 changes.append((storm.kind, now / SECOND, storm.ended_at > 0))
     return changes
 
@@ -98,7 +98,7 @@
     watch = StormDetector()
     for at in range(0, 4000, 20):
         watch.call(at * MS, CallerAttempt(FURTHER, 0, 3, 1, 500 * MS))
-        watch.look(at * MS)
+        watch.update(at * MS)
     storm = watch.states[RETRY].storm
     assert storm is not None and storm.size > 100 and storm.peak > 40
     assert "further tries" in storm.evidence and "without repeats" in storm.evidence
