--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -370,7 +370,7 @@
                 name = f"<g{number % gateways}>"
                 key = (name, "line", 5, f"n{number % 40_000}")
                 seen = detector.classify(now, key, False, False)
-                storm_watch.call(now, seen)
+                storm_watch.count_call(now, seen)
                 if not admission.admits(now, name, 1.0, rng.random()) or number % 2:
                     detector.record_unserved(now, key, seen, 500 * MS)
                     admission.count_refused(now)
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -262,7 +262,7 @@
         if not transit:
             retry_key = (requester.name, request.bearer_type, request.destination, request.number)
             call.seen = self.retry_detector.classify(now, retry_key, request.repeat, request.cut_before)
-            self.storms.watch.call(now, call.seen, requester.name)
+            self.storms.watch.count_call(now, call.seen, requester.name)
         requester.calls[request.termination] = call
         call.pending_timer = self.kernel.at(
             now + self.settings.limits.pending_after, lambda: self.send_pending(call)
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -93,7 +93,7 @@
         if len(self._last_cuts) > self.MAX_CUTS:
             self._last_cuts.popitem(last=False)
 
-    def call(self, now: int, seen: CallerAttempt, gateway: str = "") -> None:
+    def count_call(self, now: int, seen: CallerAttempt, gateway: str = "") -> None:
         """Counts a call by its classification."""
         if seen.kind == FIRST:
             self.first.add(now)
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -51,7 +51,7 @@
             now = second * SECOND + step * 50 * MS
             for kind, count in zip((FIRST, FURTHER, RETURNED), counts[:3], strict=True):
                 for _ in range(count * (step + 1) // 20 - count * step // 20):
-                    watch.call(now, seen[kind])
+                    watch.count_call(now, seen[kind])
             for _ in range(counts[3] * (step + 1) // 20 - counts[3] * step // 20):
                 watch.connected(now, 20, 500 * MS)
             for storm in watch.update(now):
@@ -97,7 +97,7 @@
 def test_a_storm_reports_its_size_and_evidence() -> None:
     watch = StormDetector()
     for at in range(0, 4000, 20):
-        watch.call(at * MS, CallerAttempt(FURTHER, 0, 3, 1, 500 * MS))
+        watch.count_call(at * MS, CallerAttempt(FURTHER, 0, 3, 1, 500 * MS))
         watch.update(at * MS)
     storm = watch.states[RETRY].storm
     assert storm is not None and storm.size > 100 and storm.peak > 40
