--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -585,7 +585,7 @@
         call = route_try.call
         self.counts.add("cut")
         if call.seen is not None:
-            self.storms.watch.cut(self.kernel.now(), call.asker.name)
+            self.storms.watch.record_cut(self.kernel.now(), call.asker.name)
         self.end_try(route_try, tell=False)
         self.forget(call)
         self.post(api.TryEnded(call.id, route_try.exchange, "reset", 0, route_try.number, True))
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -83,7 +83,7 @@
 
     MAX_CUTS = 1000  # gateways
 
-    def cut(self, now: int, gateway: str) -> None:
+    def record_cut(self, now: int, gateway: str) -> None:
         """Remembers that a call of this gateway was cut.
 
         At the limit the gateway whose last cut is longest ago is forgotten.
