--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -115,7 +115,7 @@
     def on_gateway_connected(self, requester: Requester, gateway_count: int) -> None:
         """Records a reconnection. `gateway_count`: gateways known to the agent."""
         now = self.kernel.now()
-        self.watch.connected(
+        self.watch.count_connection(
             now, gateway_count, now - requester.disconnected_at if requester.disconnected_at else -1
         )
 
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/watch.py
@@ -110,7 +110,7 @@
                 self.returns.add(now, (now - self._last_cuts[gateway]) / SECOND)
         self.tries.add(now, seen.tries)
 
-    def connected(self, now: int, gateways: int, disconnected_for: int) -> None:
+    def count_connection(self, now: int, gateways: int, disconnected_for: int) -> None:
         """Counts a connection of a gateway.
 
         gateways: number of gateways known now. disconnected_for: ns since its last connection ended, -1 for
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -53,7 +53,7 @@
                 for _ in range(count * (step + 1) // 20 - count * step // 20):
                     watch.count_call(now, seen[kind])
             for _ in range(counts[3] * (step + 1) // 20 - counts[3] * step // 20):
-                watch.connected(now, 20, 500 * MS)
+                watch.count_connection(now, 20, 500 * MS)
             for storm in watch.update(now):
                 changes.append((storm.kind, now / SECOND, storm.ended_at > 0))
     return changes
