--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -32,7 +32,7 @@
 from peattrestle.rehearsal import script as scripts
 from peattrestle.rehearsal.play import Player, Result
 from peattrestle.standin.callers import service
-from peattrestle.storms import gateway_admission, retry_detection, watch
+from peattrestle.storms import gateway_admission, retry_detection, storm_detection
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -355,7 +355,7 @@
     for gateways, held in ((1, 0), (1, 20_000), (100, 20_000), (1000, 20_000)):
         detector, storm_watch, admission = (
             retry_detection.RetryDetector(9 * SECOND),
-            watch.StormDetector(),
+            storm_detection.StormDetector(),
             gateway_admission.Door(),
         )
         rng = random.Random(1)
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -22,7 +22,7 @@
 from peattrestle.storms import restarts
 from peattrestle.storms.gateway_admission import Door
 from peattrestle.storms.notice import Notice, Notices
-from peattrestle.storms.watch import Storm, StormDetector
+from peattrestle.storms.storm_detection import Storm, StormDetector
 
 MS = 1_000_000  # nanoseconds
 CHECK_INTERVAL = 250 * MS  # nanoseconds
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -13,7 +13,7 @@
 from peattrestle.storms.notice import Notices
 from peattrestle.storms.restarts import Gate, waiting_delay
 from peattrestle.storms.retry_detection import FIRST, FURTHER, RETURNED, CallerAttempt
-from peattrestle.storms.watch import RECONNECT, RETRY, RETURN, StormDetector
+from peattrestle.storms.storm_detection import RECONNECT, RETRY, RETURN, StormDetector
 
 MS = 1_000_000
 SECOND = 1_000_000_000
