--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -8,7 +8,7 @@
 - whether a gateway's call is admitted or exceeds the gateway's fair share of the capacity (`Door`);
 - which gateways are sent a notice of the rate that they may offer, and when it is renewed or lifted
   (`Notices`);
-- when a gateway may restart, and the rate at which connections are accepted (`restarts.Gate`).
+- when a gateway may restart, and the rate at which connections are accepted (`restarts.RestartPacer`).
 """
 
 from __future__ import annotations
@@ -48,8 +48,10 @@
         self.watch, self.door = StormDetector(), Door()
         # Sequence numbers start from the clock: notices of a new run must count as newer than the last one's.
         self.notices = Notices(kernel.now() // MS)
-        self.restart_limiter = restarts.Gate(limits.restarts, max(1, limits.restarts // 4), limits.gateways)
-        self.accept_limiter = restarts.Gate(limits.accepts, limits.accepts, 1)
+        self.restart_limiter = restarts.RestartPacer(
+            limits.restarts, max(1, limits.restarts // 4), limits.gateways
+        )
+        self.accept_limiter = restarts.RestartPacer(limits.accepts, limits.accepts, 1)
         self.rng = kernel.chance("door")
 
     def run(self) -> Coroutine[None]:
--- a/peattrestle/storms/restarts.py
+++ b/peattrestle/storms/restarts.py
@@ -18,7 +18,7 @@
     return round(gateways / rate * SECOND)
 
 
-class Gate:
+class RestartPacer:
     """Admits restarts at `rate` per second, `burst` at once; each of the others gets a time slot of its own.
 
     At quiet times every restart is admitted at once. Where `max_slots` gateways restart together, the last
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -11,7 +11,7 @@
 from peattrestle.storms.decaying_statistics import DecayingCounter, Histogram
 from peattrestle.storms.gateway_admission import Door, max_min
 from peattrestle.storms.notice import Notices
-from peattrestle.storms.restarts import Gate, waiting_delay
+from peattrestle.storms.restarts import RestartPacer, waiting_delay
 from peattrestle.storms.retry_detection import FIRST, FURTHER, RETURNED, CallerAttempt
 from peattrestle.storms.storm_detection import RECONNECT, RETRY, RETURN, StormDetector
 
@@ -242,7 +242,7 @@
 
 
 def test_restarts_are_admitted_at_the_rate_and_a_slot_is_kept() -> None:
-    gate = Gate(rate=10, burst=2, max_slots=100)
+    gate = RestartPacer(rate=10, burst=2, max_slots=100)
     waits = [gate.comes(0, f"g{number}") for number in range(50)]
     assert waits[:2] == [0, 0] and waits[2:5] == [100 * MS, 200 * MS, 300 * MS]
     assert gate.comes(50 * MS, "g2") == 50 * MS  # early: the rest of its wait, and no new slot
@@ -253,7 +253,7 @@
 
 
 def test_slots_and_waits_of_restarts_are_bounded() -> None:
-    gate = Gate(rate=10, burst=1, max_slots=20)
+    gate = RestartPacer(rate=10, burst=1, max_slots=20)
     for number in range(1000):
         gate.comes(0, f"g{number}")
     assert len(gate.slots) <= 20
