--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -112,7 +112,7 @@
 
     def accept_after(self) -> int:
         """Nanoseconds to wait before the next connection is accepted; until then it stays in the backlog."""
-        return self.accept_limiter.comes(self.kernel.now(), "")
+        return self.accept_limiter.wait_for(self.kernel.now(), "")
 
     def on_gateway_connected(self, requester: Requester, gateway_count: int) -> None:
         """Records a reconnection. `gateway_count`: gateways known to the agent."""
@@ -128,7 +128,7 @@
 
     def restart_after(self, asker: Requester) -> int:
         """0: the gateway may restart now; else nanoseconds after which it is to retry its ServiceChange."""
-        wait = self.restart_limiter.comes(self.kernel.now(), asker.name)
+        wait = self.restart_limiter.wait_for(self.kernel.now(), asker.name)
         if wait:
             self.count("restarts_held_back")
         return wait
--- a/peattrestle/storms/restarts.py
+++ b/peattrestle/storms/restarts.py
@@ -33,7 +33,7 @@
         self.next_at = -(1 << 62)
         self.slots: OrderedDict[str, int] = OrderedDict()
 
-    def comes(self, now: int, gateway: str) -> int:
+    def wait_for(self, now: int, gateway: str) -> int:
         """Asks to admit a restart now: 0 if it is admitted, else nanoseconds after which to ask again."""
         slot = self.slots.get(gateway)
         if slot is not None:
