--- a/peattrestle/storms/notice.py
+++ b/peattrestle/storms/notice.py
@@ -45,7 +45,7 @@
         self.number = first
         self.sent: dict[str, _SentNotice] = {}
 
-    def look(self, now: int, shares: dict[str, float]) -> dict[str, Notice]:
+    def due_notices(self, now: int, shares: dict[str, float]) -> dict[str, Notice]:
         """The notices to send now, by gateway.
 
         `shares`: rate in calls per second of each gateway that is limited now; all others are not limited.
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -263,15 +263,15 @@
 
 def test_notices_are_renewed_changed_and_lifted() -> None:
     notices = Notices()
-    assert notices.look(0, {}) == {}
-    first = notices.look(0, {"a": 10.0})["a"]
+    assert notices.due_notices(0, {}) == {}
+    first = notices.due_notices(0, {"a": 10.0})["a"]
     assert first.rate == 10.0 and first.lifetime == notices.LIFETIME
-    assert notices.look(100 * MS, {"a": 20.0}) == {}  # too soon after the last notice
-    assert notices.look(500 * MS, {"a": 10.5}) == {}  # changed by less than 20 %
-    assert notices.look(500 * MS, {"a": 20.0})["a"].number > first.number
-    assert notices.look(1500 * MS, {"a": 20.0})["a"].rate == 20.0  # renewed at half its lifetime
-    lifted = notices.look(1600 * MS, {})["a"]
-    assert lifted.lifetime == 0 and notices.look(1700 * MS, {}) == {}
-    notices.look(2000 * MS, {"a": 5.0})
+    assert notices.due_notices(100 * MS, {"a": 20.0}) == {}  # too soon after the last notice
+    assert notices.due_notices(500 * MS, {"a": 10.5}) == {}  # changed by less than 20 %
+    assert notices.due_notices(500 * MS, {"a": 20.0})["a"].number > first.number
+    assert notices.due_notices(1500 * MS, {"a": 20.0})["a"].rate == 20.0  # renewed at half its lifetime
+    lifted = notices.due_notices(1600 * MS, {})["a"]
+    assert lifted.lifetime == 0 and notices.due_notices(1700 * MS, {}) == {}
+    notices.due_notices(2000 * MS, {"a": 5.0})
     notices.gone("a")
-    assert notices.look(2100 * MS, {}) == {}
+    assert notices.due_notices(2100 * MS, {}) == {}
