--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -47,7 +47,7 @@
     def revenue_only(self: Any, asked: api.CallArrived, seen: Any) -> float:
         return float(self.revenue.get(asked.bearer_type, 1.0) / self.mean_revenue)
 
-    control.CallRouter.worth = revenue_only  # type: ignore[method-assign]
+    control.CallRouter.relative_revenue = revenue_only  # type: ignore[method-assign]
 
 
 def without_slots() -> None:
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -283,7 +283,9 @@
             "" if transit else requester.name,
             seen=call.seen,
         )
-        if not transit and not self.storms.admit(requester.name, self.controller.worth(arrived, call.seen)):
+        if not transit and not self.storms.admit(
+            requester.name, self.controller.relative_revenue(arrived, call.seen)
+        ):
             call.over_share = True
             arrived = replace(arrived, held=True)
         self.take(call, arrived)
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -416,7 +416,7 @@
                 1.0, self.window + self.WINDOW_RECOVERY * (self.loop.now - self.window_fixed_until) / SECOND
             )
             self.window_fixed_until = self.loop.now
-        revenue = self.router.worth(call.arrival, call.attempt)
+        revenue = self.router.relative_revenue(call.arrival, call.attempt)
         excess = self.out + 1 - self.window * revenue
         return excess > 0 and self.loop.random() < excess
 
@@ -544,7 +544,7 @@
         ):
             self.request_admission(call)
 
-    def worth(self, asked: api.CallArrived, seen: CallerAttempt | None) -> float:
+    def relative_revenue(self, asked: api.CallArrived, seen: CallerAttempt | None) -> float:
         """Expected revenue of the call, relative to the mean revenue.
 
         Guards first tries against further tries that can no longer be answered within the GoS target.
@@ -871,14 +871,17 @@
 class Controller:
     """Makes the decisions of one call agent; the same seed, settings and events lead to the same actions.
 
-    `retry_detector` and `worth` are what the agent uses before it passes a call on: the
+    `retry_detector` and `relative_revenue` are what the agent uses before it passes a call on: the
     detection of further tries, and the expected revenue of a call.
     """
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
         self._loop = Loop(seed, settings)
         self._router = CallRouter(self._loop)
-        self.retry_detector, self.worth = self._router.retry_detector, self._router.worth
+        self.retry_detector, self.relative_revenue = (
+            self._router.retry_detector,
+            self._router.relative_revenue,
+        )
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
         """Handles the events in order and returns the resulting actions; `now` is in nanoseconds."""
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -87,7 +87,10 @@
 
     def __init__(self, agent: CallAgent) -> None:
         self.agent = agent
-        self.retry_detector, self.worth = agent.controller.retry_detector, agent.controller.worth
+        self.retry_detector, self.relative_revenue = (
+            agent.controller.retry_detector,
+            agent.controller.relative_revenue,
+        )
         self.arrivals: dict[int, api.CallArrived] = {}
 
     def handle(self, now: int, events: Any) -> list[api.Action]:
