--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -56,7 +56,7 @@
     def fixed_wait(self: Any, asked: Any, seen: Any, most: int) -> int:
         return int(self.target // 3)
 
-    control.CallRouter.come_back = fixed_wait  # type: ignore[method-assign]
+    control.CallRouter.retry_delay = fixed_wait  # type: ignore[method-assign]
 
 
 def without_door() -> None:
@@ -112,7 +112,7 @@
 def no_advice() -> None:
     """Disables all parts; refusals tell callers no wait."""
     off()
-    control.CallRouter.come_back = lambda self, asked, seen, most: 0  # type: ignore[method-assign]
+    control.CallRouter.retry_delay = lambda self, asked, seen, most: 0  # type: ignore[method-assign]
 
 
 def waits_at_callers() -> None:
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -739,15 +739,15 @@
     def refuse(self, arrival: api.CallArrived, attempt: CallerAttempt | None, wait: int = 0) -> None:
         """Blocks the call, with advice when to retry.
 
-        wait: nanoseconds to advise; 0 for the delay that `come_back` gives.
+        wait: nanoseconds to advise; 0 for the delay that `retry_delay` gives.
         """
         get = self.loop.settings.get
         max_delay = get("come_back_limit", 0) if get("come_back", False) and not arrival.transit else 0
-        retry_after = min(max_delay, wait or self.come_back(arrival, attempt, max_delay))
+        retry_after = min(max_delay, wait or self.retry_delay(arrival, attempt, max_delay))
         self.remember_unserved(arrival, attempt, retry_after)
         self.loop.actions.append(api.Block(arrival.call, retry_after))
 
-    def come_back(self, asked: api.CallArrived, seen: CallerAttempt | None, most: int) -> int:
+    def retry_delay(self, asked: api.CallArrived, seen: CallerAttempt | None, most: int) -> int:
         """Nanoseconds after which the caller of a refused call should retry.
 
         Short while the caller can still be answered within the GoS target. Later callers get a time slot
