--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -486,7 +486,7 @@
     def receive(self, message: Message) -> None:
         match message:
             case api.CallArrived():
-                self.arrive(message)
+                self.handle_call(message)
             case AdmissionResponse():
                 self.handle_admission_response(message)
             case api.Stood():
@@ -586,7 +586,7 @@
     def route_statistics(self, destination: int, route: Exchange) -> RouteStatistics:
         return self.statistics.setdefault((destination, route.name), RouteStatistics())
 
-    def arrive(self, arrival: api.CallArrived) -> None:
+    def handle_call(self, arrival: api.CallArrived) -> None:
         """Refuses a new call at once, or starts to set it up."""
         destination = self.exchanges_by_number.get(arrival.destination)
         gap_until, _ = self.gaps.get(arrival.number, (0, 0))
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -108,7 +108,7 @@
     def fail(self: object, request: object) -> None:
         raise ValueError("broken")
 
-    monkeypatch.setattr("peattrestle.control.CallRouter.arrive", fail)
+    monkeypatch.setattr("peattrestle.control.CallRouter.handle_call", fail)
     monkeypatch.setattr("sys.stdin", io.StringIO(text))
     assert main() == code
     captured = capsys.readouterr()
