--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -77,14 +77,14 @@
 
 def without_slow_start() -> None:
     """The agent's own exchange gets an unlimited window as soon as it is listed."""
-    original = control.Exchange.told
+    original = control.Exchange.apply_list_entry
 
     def open_window(self: Any, entry: api.Entry) -> None:
         original(self, entry)
         if self.number == self.router.own_number and not self.out:
             self.window = float("inf")
 
-    control.Exchange.told = open_window  # type: ignore[method-assign]
+    control.Exchange.apply_list_entry = open_window  # type: ignore[method-assign]
 
 
 def without_budget() -> None:
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -289,13 +289,13 @@
                 self.out -= not message.sent_elsewhere
                 self.update_window(message)
             case api.Entry():
-                self.told(message)
+                self.apply_list_entry(message)
             case api.Reported() | api.TryEnded():
                 self.free_circuits = int(message.load.get("free", self.free_circuits))
                 self.group_size = int(message.load.get("size", self.group_size))
                 self.router.max_setup_rate = max(self.router.max_setup_rate, message.load.get("rate", 0.0))
 
-    def told(self, entry: api.Entry) -> None:
+    def apply_list_entry(self, entry: api.Entry) -> None:
         """Applies this exchange's entry of the exchange list."""
         if self.number < 0 and entry.number == self.router.own_number:
             self.window = 2 * self.INITIAL_WINDOW  # a restart during a storm must not add a burst
