--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -89,7 +89,7 @@
 
 def without_budget() -> None:
     """Each first route try allows a whole further one, not only a share of it."""
-    control.CallRouter.FURTHER = 1.0
+    control.CallRouter.RETRY_CREDIT = 1.0
 
 
 PARTS = {
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -444,7 +444,10 @@
     """The agent's calls and route statistics; the only place that sends set-ups and final answers."""
 
     MAX_LATE_SHARE = 0.25  # of answers; from it on no call overflows and the own window shrinks
-    FURTHER, MAX_RETRY_BUDGET = 0.1, 10.0  # further route tries earned by each first one, and the most kept
+    RETRY_CREDIT, MAX_RETRY_BUDGET = (
+        0.1,
+        10.0,
+    )  # further route tries earned by each first one, and the most kept
     LATE_RETURN_SHARE = 0.2  # rate at which late callers return, as a fraction of the answered calls
     RETRY_JITTER = 0.4  # fraction of a third of the GoS target; spreads callers that were refused together
     MIN_GAP, MAX_GAP = SECOND, 8 * SECOND  # ns; a busy line comes free within about a holding time
@@ -710,7 +713,7 @@
             self.block(call)
             return
         self.retry_budget = min(
-            self.MAX_RETRY_BUDGET, self.retry_budget + (-1 if call.tries else self.FURTHER)
+            self.MAX_RETRY_BUDGET, self.retry_budget + (-1 if call.tries else self.RETRY_CREDIT)
         )
         early_timeout = route.early_timeout() if self.recent_losses() >= 2 else 0  # one may be chance
         if (
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -585,7 +585,7 @@
 def test_further_route_tries_have_a_budget_where_answers_are_late(
     monkeypatch: pytest.MonkeyPatch, late: bool, min_count: int, max_count: int
 ) -> None:
-    monkeypatch.setattr(CallRouter, "FURTHER", 0.0)  # only the budget that there is at the start
+    monkeypatch.setattr(CallRouter, "RETRY_CREDIT", 0.0)  # only the budget that there is at the start
     agent = Agent({1: 0}, exchanges=6)
     further_tries = 0
     for call in range(60):
