--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -81,7 +81,7 @@
 
     def open_window(self: Any, entry: api.Entry) -> None:
         original(self, entry)
-        if self.number == self.router.own_number and not self.out:
+        if self.number == self.router.own_number and not self.outstanding:
             self.window = float("inf")
 
     control.Exchange.apply_list_entry = open_window  # type: ignore[method-assign]
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -273,7 +273,7 @@
         self.start_known_at, self.budget_phase = 0, 0.0  # see has_cold_budget
         self.free_circuits, self.group_size = 0, -1  # of the own trunk group to it; size -1: not known
         self.cold_setups: deque[int] = deque()  # times at which set-ups were sent during the cold time
-        self.out, self.window = 0, self.INITIAL_WINDOW  # set-ups outstanding, and their limit
+        self.outstanding, self.window = 0, self.INITIAL_WINDOW  # set-ups outstanding, and their limit
         self.window_fixed_until = self.answered_in_time_at = 0
         self.delays = DelayHistogram()
 
@@ -282,11 +282,11 @@
             case AdmissionRequest():
                 self.loop.post(self.router, AdmissionResponse(message, self, self.admits(message)))
             case SetUpSent(is_outstanding):
-                self.out += is_outstanding
+                self.outstanding += is_outstanding
                 if self.loop.now < self.cold_until:
                     self.cold_setups.append(self.loop.now)
             case SetUpFinished():
-                self.out -= not message.sent_elsewhere
+                self.outstanding -= not message.sent_elsewhere
                 self.update_window(message)
             case api.Entry():
                 self.apply_list_entry(message)
@@ -321,7 +321,7 @@
                 finished.outcome in ("answered", "unanswered")
                 and self.router.late_share(0.25) > self.router.MAX_LATE_SHARE
             ):
-                self.window = max(1.0, min(self.window, self.out + 1) * (1 - self.OWN_WINDOW_STEP))
+                self.window = max(1.0, min(self.window, self.outstanding + 1) * (1 - self.OWN_WINDOW_STEP))
             return
         if finished.outcome == "answered":
             self.delays.add(now, finished.elapsed / self.router.target)
@@ -417,7 +417,7 @@
             )
             self.window_fixed_until = self.loop.now
         revenue = self.router.relative_revenue(call.arrival, call.attempt)
-        excess = self.out + 1 - self.window * revenue
+        excess = self.outstanding + 1 - self.window * revenue
         return excess > 0 and self.loop.random() < excess
 
 
