--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -44,8 +44,8 @@
 def without_fresh_first() -> None:
     """First tries get no priority over retries."""
 
-    def revenue_only(self: Any, asked: api.CallArrived, seen: Any) -> float:
-        return float(self.revenue.get(asked.bearer_type, 1.0) / self.mean_revenue)
+    def revenue_only(self: Any, arrival: api.CallArrived, seen: Any) -> float:
+        return float(self.revenue.get(arrival.bearer_type, 1.0) / self.mean_revenue)
 
     control.CallRouter.relative_revenue = revenue_only  # type: ignore[method-assign]
 
@@ -53,7 +53,7 @@
 def without_slots() -> None:
     """Refused callers all get the same wait, a third of the answer target."""
 
-    def fixed_wait(self: Any, asked: Any, seen: Any, most: int) -> int:
+    def fixed_wait(self: Any, arrival: Any, seen: Any, most: int) -> int:
         return int(self.target // 3)
 
     control.CallRouter.retry_delay = fixed_wait  # type: ignore[method-assign]
@@ -112,7 +112,7 @@
 def no_advice() -> None:
     """Disables all parts; refusals tell callers no wait."""
     off()
-    control.CallRouter.retry_delay = lambda self, asked, seen, most: 0  # type: ignore[method-assign]
+    control.CallRouter.retry_delay = lambda self, arrival, seen, most: 0  # type: ignore[method-assign]
 
 
 def waits_at_callers() -> None:
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -547,12 +547,12 @@
         ):
             self.request_admission(call)
 
-    def relative_revenue(self, asked: api.CallArrived, seen: CallerAttempt | None) -> float:
+    def relative_revenue(self, arrival: api.CallArrived, seen: CallerAttempt | None) -> float:
         """Expected revenue of the call, relative to the mean revenue.
 
         Guards first tries against further tries that can no longer be answered within the GoS target.
         """
-        name, first_at = asked.bearer_type, seen.first_at if seen is not None else -1
+        name, first_at = arrival.bearer_type, seen.first_at if seen is not None else -1
         late = 0 <= first_at < self.loop.now - self.target
         share: float = self.loop.settings.get(f"late_revenue:{name}", 1.0) if late else 1.0
         return share * self.revenue.get(name, 1.0) / self.mean_revenue
@@ -750,7 +750,7 @@
         self.remember_unserved(arrival, attempt, retry_after)
         self.loop.actions.append(api.Block(arrival.call, retry_after))
 
-    def retry_delay(self, asked: api.CallArrived, seen: CallerAttempt | None, most: int) -> int:
+    def retry_delay(self, arrival: api.CallArrived, seen: CallerAttempt | None, most: int) -> int:
         """Nanoseconds after which the caller of a refused call should retry.
 
         Short while the caller can still be answered within the GoS target. Later callers get a time slot
@@ -763,7 +763,7 @@
         first_at = seen.first_at if seen is not None and seen.first_at >= 0 else now
         if now + short_delay < first_at + self.target:
             return short_delay
-        abandon_time = self.loop.settings.get(f"abandon_time:{asked.bearer_type}", 0)
+        abandon_time = self.loop.settings.get(f"abandon_time:{arrival.bearer_type}", 0)
         most = max(short_delay, min(most, first_at + abandon_time - self.target - now))
         slot_length = int(1.5 * HALF_LIFE / max(1.0, self.LATE_RETURN_SHARE * sum(self.delays.bins)))
         slot_at = max(self.next_return_slot_at, now + short_delay)
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -35,8 +35,10 @@
 
 def test_congestion_stays_with_storm_protection_off(monkeypatch: pytest.MonkeyPatch) -> None:
     router = control.CallRouter
-    monkeypatch.setattr(router, "relative_revenue", lambda self, asked, seen: self.revenue[asked.bearer_type])
-    monkeypatch.setattr(router, "retry_delay", lambda self, asked, seen, most: self.target // 3)
+    monkeypatch.setattr(
+        router, "relative_revenue", lambda self, arrival, seen: self.revenue[arrival.bearer_type]
+    )
+    monkeypatch.setattr(router, "retry_delay", lambda self, arrival, seen, most: self.target // 3)
     monkeypatch.setattr(router, "RETRY_CREDIT", 1.0)
     monkeypatch.setattr(gateway_admission.Demand, "divide", lambda self, now, share: None)
     monkeypatch.setattr(gateway_admission.Door, "notices", lambda self: {})
