--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -53,7 +53,7 @@
 def without_slots() -> None:
     """Refused callers all get the same wait, a third of the answer target."""
 
-    def fixed_wait(self: Any, arrival: Any, seen: Any, most: int) -> int:
+    def fixed_wait(self: Any, arrival: Any, seen: Any, max_delay: int) -> int:
         return int(self.target // 3)
 
     control.CallRouter.retry_delay = fixed_wait  # type: ignore[method-assign]
@@ -112,7 +112,7 @@
 def no_advice() -> None:
     """Disables all parts; refusals tell callers no wait."""
     off()
-    control.CallRouter.retry_delay = lambda self, arrival, seen, most: 0  # type: ignore[method-assign]
+    control.CallRouter.retry_delay = lambda self, arrival, seen, max_delay: 0  # type: ignore[method-assign]
 
 
 def waits_at_callers() -> None:
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -750,12 +750,12 @@
         self.remember_unserved(arrival, attempt, retry_after)
         self.loop.actions.append(api.Block(arrival.call, retry_after))
 
-    def retry_delay(self, arrival: api.CallArrived, seen: CallerAttempt | None, most: int) -> int:
+    def retry_delay(self, arrival: api.CallArrived, seen: CallerAttempt | None, max_delay: int) -> int:
         """Nanoseconds after which the caller of a refused call should retry.
 
         Short while the caller can still be answered within the GoS target. Later callers get a time slot
         each, so that they return evenly, at a fraction of the rate of the answered calls. When the slots up
-        to `most` are taken, the delay is random up to there. Never so long that the caller would have
+        to `max_delay` are taken, the delay is random up to there. Never so long that the caller would have
         given up.
         """
         now, draw = self.loop.now, self.loop.random()
@@ -764,11 +764,11 @@
         if now + short_delay < first_at + self.target:
             return short_delay
         abandon_time = self.loop.settings.get(f"abandon_time:{arrival.bearer_type}", 0)
-        most = max(short_delay, min(most, first_at + abandon_time - self.target - now))
+        max_delay = max(short_delay, min(max_delay, first_at + abandon_time - self.target - now))
         slot_length = int(1.5 * HALF_LIFE / max(1.0, self.LATE_RETURN_SHARE * sum(self.delays.bins)))
         slot_at = max(self.next_return_slot_at, now + short_delay)
-        if slot_at + slot_length > now + most:
-            return short_delay + int(draw * (most - short_delay))
+        if slot_at + slot_length > now + max_delay:
+            return short_delay + int(draw * (max_delay - short_delay))
         self.next_return_slot_at = slot_at + slot_length
         return slot_at + int(draw * slot_length) - now
 
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -38,7 +38,7 @@
     monkeypatch.setattr(
         router, "relative_revenue", lambda self, arrival, seen: self.revenue[arrival.bearer_type]
     )
-    monkeypatch.setattr(router, "retry_delay", lambda self, arrival, seen, most: self.target // 3)
+    monkeypatch.setattr(router, "retry_delay", lambda self, arrival, seen, max_delay: self.target // 3)
     monkeypatch.setattr(router, "RETRY_CREDIT", 1.0)
     monkeypatch.setattr(gateway_admission.Demand, "divide", lambda self, now, share: None)
     monkeypatch.setattr(gateway_admission.Door, "notices", lambda self: {})
