--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -66,7 +66,7 @@
 
 def without_notices() -> None:
     """Gateways are not notified of their limits."""
-    gateway_admission.Door.notices = lambda self: {}  # type: ignore[method-assign]
+    gateway_admission.GatewayAdmission.notices = lambda self: {}  # type: ignore[method-assign]
 
 
 def without_gate() -> None:
@@ -356,7 +356,7 @@
         detector, storm_watch, admission = (
             retry_detection.RetryDetector(9 * SECOND),
             storm_detection.StormDetector(),
-            gateway_admission.Door(),
+            gateway_admission.GatewayAdmission(),
         )
         rng = random.Random(1)
         for number in range(held):
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -5,7 +5,7 @@
 package `peattrestle.storms`:
 
 - whether a storm has started or ended, each logged with its evidence and counted (`Watch`);
-- whether a gateway's call is admitted or exceeds the gateway's fair share of the capacity (`Door`);
+- whether a gateway's call is admitted or exceeds the gateway's fair share (`GatewayAdmission`);
 - which gateways are sent a notice of the rate that they may offer, and when it is renewed or lifted
   (`Notices`);
 - when a gateway may restart, and the rate at which connections are accepted (`restarts.RestartPacer`).
@@ -20,7 +20,7 @@
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.settings.agent import Limits
 from peattrestle.storms import restarts
-from peattrestle.storms.gateway_admission import Door
+from peattrestle.storms.gateway_admission import GatewayAdmission
 from peattrestle.storms.notice import Notice, Notices
 from peattrestle.storms.storm_detection import Storm, StormDetector
 
@@ -45,7 +45,7 @@
     ) -> None:
         self.kernel, self.limits, self.log, self.count = kernel, limits, log, count
         self.gateways = gateways
-        self.watch, self.door = StormDetector(), Door()
+        self.watch, self.door = StormDetector(), GatewayAdmission()
         # Sequence numbers start from the clock: notices of a new run must count as newer than the last one's.
         self.notices = Notices(kernel.now() // MS)
         self.restart_limiter = restarts.RestartPacer(
--- a/peattrestle/storms/gateway_admission.py
+++ b/peattrestle/storms/gateway_admission.py
@@ -65,7 +65,7 @@
             remaining = max(0.0, remaining - rate)
 
 
-class Door:
+class GatewayAdmission:
     """Limits gateways to their shares while many of the calls admitted here are refused by the controller.
 
     A gateway is limited for one of two reasons. Either all gateways together offer more than
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from peattrestle.storms.decaying_statistics import DecayingCounter, Histogram
-from peattrestle.storms.gateway_admission import Door, max_min
+from peattrestle.storms.gateway_admission import GatewayAdmission, max_min
 from peattrestle.storms.notice import Notices
 from peattrestle.storms.restarts import RestartPacer, waiting_delay
 from peattrestle.storms.retry_detection import FIRST, FURTHER, RETURNED, CallerAttempt
@@ -126,7 +126,7 @@
     """Gateways that offer calls at set rates; `capacity` of the admitted calls per second are answered."""
 
     def __init__(self, capacity: float) -> None:
-        self.door, self.capacity, self.draw = Door(), capacity, random.Random(3)
+        self.door, self.capacity, self.draw = GatewayAdmission(), capacity, random.Random(3)
         self.now = 0
         self.tokens = 0.0
 
@@ -233,7 +233,7 @@
 
 
 def test_the_number_of_remembered_usual_rates_is_bounded() -> None:
-    door = Door()
+    door = GatewayAdmission()
     for number in range(12_000):
         door.admits(number * 250 * MS, f"g{number}", 1.0, 0.5)
         door.update((number + 1) * 250 * MS)
