--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -66,7 +66,7 @@
 
 def without_notices() -> None:
     """Gateways are not notified of their limits."""
-    gateway_admission.GatewayAdmission.notices = lambda self: {}  # type: ignore[method-assign]
+    gateway_admission.GatewayAdmission.limits_to_announce = lambda self: {}  # type: ignore[method-assign]
 
 
 def without_gate() -> None:
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -71,7 +71,7 @@
                     offered=round(self.watch.offered(now), 1),
                     turned_away=self.door.turned_away,
                 )
-            self.send_notices(self.notices.due_notices(now, self.door.notices()))
+            self.send_notices(self.notices.due_notices(now, self.door.limits_to_announce()))
 
     def log_storm(self, storm: Storm) -> None:
         """Logs the start or the end of a storm; a start is counted as well."""
--- a/peattrestle/storms/gateway_admission.py
+++ b/peattrestle/storms/gateway_admission.py
@@ -202,6 +202,6 @@
             whole_part = 0.0 if share < shares[name] else max_rate * weights[name] / total_weight
             self.rate_limits[name] = max(share, whole_part)
 
-    def notices(self) -> dict[str, float]:
+    def limits_to_announce(self) -> dict[str, float]:
         """Rate in calls per second that each gateway may offer; empty while none is limited."""
         return self.rate_limits
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -163,7 +163,9 @@
     simulation = Simulation(capacity=40)
     shares = simulation.run(20, {"a": [(1.0, 30)], "b": [(1.0, 5)]})
     assert (
-        not simulation.door.is_limiting and set(shares.values()) == {1.0} and simulation.door.notices() == {}
+        not simulation.door.is_limiting
+        and set(shares.values()) == {1.0}
+        and simulation.door.limits_to_announce() == {}
     )
 
 
@@ -172,7 +174,7 @@
     simulation.run(20, {"a": [(1.0, 6)], "b": [(1.0, 6)], "c": [(1.0, 6)]})
     shares = simulation.run(20, {"a": [(1.0, 6)], "b": [(1.0, 6)], "c": [(1.0, 90)]})
     assert shares["a", 1.0] > 0.95 and shares["b", 1.0] > 0.95 and shares["c", 1.0] < 0.4
-    rate_limits = simulation.door.notices()
+    rate_limits = simulation.door.limits_to_announce()
     assert rate_limits["c"] < 40 and rate_limits["a"] >= 6
 
 
@@ -203,7 +205,7 @@
     simulation.run(10, {"a": [(1.0, 60)], "b": [(1.0, 5)]})
     assert simulation.door.is_limiting
     simulation.run(10, {"a": [(1.0, 8)], "b": [(1.0, 5)]})
-    assert not simulation.door.is_limiting and simulation.door.notices() == {}
+    assert not simulation.door.is_limiting and simulation.door.limits_to_announce() == {}
 
 
 def test_limits_end_where_nobody_calls_any_more() -> None:
@@ -229,7 +231,7 @@
     simulation.run(10, {"a": [(1.0, 30)], "b": [(1.0, 30)]})
     simulation.door.remove_gateway("b")
     simulation.run(0.5, {"a": [(1.0, 30)]})
-    assert set(simulation.door.notices()) == {"a"}
+    assert set(simulation.door.limits_to_announce()) == {"a"}
 
 
 def test_the_number_of_remembered_usual_rates_is_bounded() -> None:
