--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -44,7 +44,7 @@
 def without_fresh_first() -> None:
     """First tries get no priority over retries."""
 
-    def revenue_only(self: Any, arrival: api.CallArrived, seen: Any) -> float:
+    def revenue_only(self: Any, arrival: api.CallArrived, attempt: Any) -> float:
         return float(self.revenue.get(arrival.bearer_type, 1.0) / self.mean_revenue)
 
     control.CallRouter.relative_revenue = revenue_only  # type: ignore[method-assign]
@@ -53,7 +53,7 @@
 def without_slots() -> None:
     """Refused callers all get the same wait, a third of the answer target."""
 
-    def fixed_wait(self: Any, arrival: Any, seen: Any, max_delay: int) -> int:
+    def fixed_wait(self: Any, arrival: Any, attempt: Any, max_delay: int) -> int:
         return int(self.target // 3)
 
     control.CallRouter.retry_delay = fixed_wait  # type: ignore[method-assign]
@@ -112,7 +112,7 @@
 def no_advice() -> None:
     """Disables all parts; refusals tell callers no wait."""
     off()
-    control.CallRouter.retry_delay = lambda self, arrival, seen, max_delay: 0  # type: ignore[method-assign]
+    control.CallRouter.retry_delay = lambda self, arrival, attempt, max_delay: 0  # type: ignore[method-assign]
 
 
 def waits_at_callers() -> None:
@@ -369,10 +369,10 @@
                 now = number * MS // 10
                 name = f"<g{number % gateways}>"
                 key = (name, "line", 5, f"n{number % 40_000}")
-                seen = detector.classify(now, key, False, False)
-                storm_watch.count_call(now, seen)
+                attempt = detector.classify(now, key, False, False)
+                storm_watch.count_call(now, attempt)
                 if not admission.admits(now, name, 1.0, rng.random()) or number % 2:
-                    detector.record_unserved(now, key, seen, 500 * MS)
+                    detector.record_unserved(now, key, attempt, 500 * MS)
                     admission.count_refused(now)
                 else:
                     admission.count_answered(now)
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -547,12 +547,12 @@
         ):
             self.request_admission(call)
 
-    def relative_revenue(self, arrival: api.CallArrived, seen: CallerAttempt | None) -> float:
+    def relative_revenue(self, arrival: api.CallArrived, attempt: CallerAttempt | None) -> float:
         """Expected revenue of the call, relative to the mean revenue.
 
         Guards first tries against further tries that can no longer be answered within the GoS target.
         """
-        name, first_at = arrival.bearer_type, seen.first_at if seen is not None else -1
+        name, first_at = arrival.bearer_type, attempt.first_at if attempt is not None else -1
         late = 0 <= first_at < self.loop.now - self.target
         share: float = self.loop.settings.get(f"late_revenue:{name}", 1.0) if late else 1.0
         return share * self.revenue.get(name, 1.0) / self.mean_revenue
@@ -750,7 +750,7 @@
         self.remember_unserved(arrival, attempt, retry_after)
         self.loop.actions.append(api.Block(arrival.call, retry_after))
 
-    def retry_delay(self, arrival: api.CallArrived, seen: CallerAttempt | None, max_delay: int) -> int:
+    def retry_delay(self, arrival: api.CallArrived, attempt: CallerAttempt | None, max_delay: int) -> int:
         """Nanoseconds after which the caller of a refused call should retry.
 
         Short while the caller can still be answered within the GoS target. Later callers get a time slot
@@ -760,7 +760,7 @@
         """
         now, draw = self.loop.now, self.loop.random()
         short_delay = int(self.target * (1 + (draw - 0.5) * self.RETRY_JITTER) / 3)
-        first_at = seen.first_at if seen is not None and seen.first_at >= 0 else now
+        first_at = attempt.first_at if attempt is not None and attempt.first_at >= 0 else now
         if now + short_delay < first_at + self.target:
             return short_delay
         abandon_time = self.loop.settings.get(f"abandon_time:{arrival.bearer_type}", 0)
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -36,9 +36,9 @@
 def test_congestion_stays_with_storm_protection_off(monkeypatch: pytest.MonkeyPatch) -> None:
     router = control.CallRouter
     monkeypatch.setattr(
-        router, "relative_revenue", lambda self, arrival, seen: self.revenue[arrival.bearer_type]
+        router, "relative_revenue", lambda self, arrival, attempt: self.revenue[arrival.bearer_type]
     )
-    monkeypatch.setattr(router, "retry_delay", lambda self, arrival, seen, max_delay: self.target // 3)
+    monkeypatch.setattr(router, "retry_delay", lambda self, arrival, attempt, max_delay: self.target // 3)
     monkeypatch.setattr(router, "RETRY_CREDIT", 1.0)
     monkeypatch.setattr(gateway_admission.Demand, "divide", lambda self, now, share: None)
     monkeypatch.setattr(gateway_admission.GatewayAdmission, "limits_to_announce", lambda self: {})
