--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -61,7 +61,7 @@
 
 def without_door() -> None:
     """Gateways are not held to their shares."""
-    gateway_admission.Demand.divide = lambda self, now, share: None  # type: ignore[method-assign]
+    gateway_admission.Demand.set_share = lambda self, now, share: None  # type: ignore[method-assign]
 
 
 def without_notices() -> None:
--- a/peattrestle/storms/gateway_admission.py
+++ b/peattrestle/storms/gateway_admission.py
@@ -53,7 +53,7 @@
     def offered(self, now: int) -> float:
         return sum(counter.rate(now) for counter in self.counters.values())
 
-    def divide(self, now: int, share: float) -> None:
+    def set_share(self, now: int, share: float) -> None:
         """Limits the admitted calls to `share` calls per second, those of the highest revenue first.
 
         Calls of the revenue at which the share is used up are admitted with the probability that remains.
@@ -196,7 +196,7 @@
                 self.PEER_GROWTH_FACTOR * others_growth * weights[name] if len(offered) > 1 else rate
             )
             share = min(shares[name], max(min_shares[name], growth_share))
-            self.demands[name].divide(now, share)
+            self.demands[name].set_share(now, share)
             # A gateway that is not limited more than by the total is told its weighted part of the total. If
             # that followed from what it offers now, its limit would shrink with each notice it keeps to.
             whole_part = 0.0 if share < shares[name] else max_rate * weights[name] / total_weight
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -40,7 +40,7 @@
     )
     monkeypatch.setattr(router, "retry_delay", lambda self, arrival, attempt, max_delay: self.target // 3)
     monkeypatch.setattr(router, "RETRY_CREDIT", 1.0)
-    monkeypatch.setattr(gateway_admission.Demand, "divide", lambda self, now, share: None)
+    monkeypatch.setattr(gateway_admission.Demand, "set_share", lambda self, now, share: None)
     monkeypatch.setattr(gateway_admission.GatewayAdmission, "limits_to_announce", lambda self: {})
     assert any(fault.startswith("back to") for fault in faults(FOLDER / "jam.hcl"))
 
