--- a/benchmarks/module_size.py
+++ b/benchmarks/module_size.py
@@ -46,7 +46,7 @@
         controller.handle(
             now + MS // 2,
             [
-                api.Stood(call, f"x{destination}", MS // 2, 0),
+                api.TryAnswered(call, f"x{destination}", MS // 2, 0),
                 api.TryEnded(call, f"x{destination}", "served", MS // 2, 0, True, load=load),
             ],
         )
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -406,7 +406,7 @@
             self.log_try("stands", route_try, ms=(now - route_try.sent_at) // 1_000_000)
         call.pending_try, call.answered_try, call.state = None, route_try, ESTABLISHED
         self.guard.try_ended(now, call.id, False)
-        self.post(api.Stood(call.id, route_try.exchange, now - route_try.sent_at, route_try.number))
+        self.post(api.TryAnswered(call.id, route_try.exchange, now - route_try.sent_at, route_try.number))
         if load:
             self.post(api.Reported(route_try.exchange, "served", now - route_try.sent_at, load))
         self.answer(call, Final(STOOD))
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -492,7 +492,7 @@
                 self.handle_call(message)
             case AdmissionResponse():
                 self.handle_admission_response(message)
-            case api.Stood():
+            case api.TryAnswered():
                 self.handle_answer(message)
             case api.TryEnded():
                 self.handle_try_ended(message)
@@ -791,7 +791,7 @@
         for exchange in dict.fromkeys((route, self.exchanges_by_number.get(self.own_number, route))):
             self.loop.post(exchange, finished)
 
-    def handle_answer(self, message: api.Stood) -> None:
+    def handle_answer(self, message: api.TryAnswered) -> None:
         call = self.calls.pop(message.call, None)
         if call is not None:
             route = self.get_exchange(message.exchange)
--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stood:
+class TryAnswered:
     """A route try was answered, `delay` after it was sent: the call is set up.
 
     route_try: index of the try within its call, from 0.
@@ -129,7 +129,7 @@
     load: Load
 
 
-Event = Listed | CallArrived | Stood | TryEnded | CallerLeft | TimerDue | Reported
+Event = Listed | CallArrived | TryAnswered | TryEnded | CallerLeft | TimerDue | Reported
 
 
 @dataclass(slots=True, frozen=True)
--- a/peattrestle/wirehost/parse.py
+++ b/peattrestle/wirehost/parse.py
@@ -164,7 +164,7 @@
             line.text("Team"),
         )
     if line.kind == "ack_first":
-        return api.Stood(
+        return api.TryAnswered(
             line.required("Id"), line.text("Exchange"), line.integer("RttUs") * US, line.integer("Leg")
         )
     if line.kind == "verdict":
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -74,7 +74,7 @@
         )
 
     def answered(self, ms: float, call: int, number: int, delay: float = 50) -> list[api.Action]:
-        return self.handle_at(ms, api.Stood(call, f"x{number}", int(delay * MS), 0))
+        return self.handle_at(ms, api.TryAnswered(call, f"x{number}", int(delay * MS), 0))
 
     def set_state(self, ms: float, number: int, state: str, started: float = 0) -> list[api.Action]:
         entry = api.Entry(f"x{number}", number, state, int(started * MS))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -620,7 +620,7 @@
     for number in range(30):
         agent.call(number * 1000, number, to=1)
         name = "x1" if number == 0 else f"r{number}"
-        agent.handle_at(number * 1000 + 10, api.Stood(number, name, 50 * MS, 0))
+        agent.handle_at(number * 1000 + 10, api.TryAnswered(number, name, 50 * MS, 0))
         new = f"r{number + 1}"
         agent.handle_at(number * 1000 + 20, api.Listed("delta", (api.Entry(new, 1, "ready", 1),)))
         agent.handle_at(number * 1000 + 20, api.Reported(new, "served", 0, {"free": 30, "size": 30}))
