--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -444,7 +444,7 @@
         row.age = int(age.value or 0)
         self.guard.told(now, row.exchange, row.state, now - row.age)
         entry = api.Entry(row.exchange, row.number, row.state, now - row.age, row.zone)
-        self.post(api.Listed("delta", (entry,)))
+        self.post(api.ListUpdated("delta", (entry,)))
         # The reply may have been delayed, so the exchange may have started as early as the time of the hello
         # less the age. Only calls set up before that are known to be gone.
         self.drop_forgotten_calls(link, link.hello_sent_at - row.age)
@@ -813,7 +813,7 @@
         """
         now = self.kernel.now()
         if form == "failed":
-            self.post(api.Listed("failed"))
+            self.post(api.ListUpdated("failed"))
             return
         if form in ("full", "cached"):
             present = {row.exchange for row in rows}
@@ -829,7 +829,7 @@
             if row.state == "ready" or row.number not in self.numbers:
                 self.numbers[row.number] = row.exchange
             self.guard.told(now, row.exchange, row.state, started)
-        self.post(api.Listed(form, tuple(entries)))
+        self.post(api.ListUpdated(form, tuple(entries)))
         for name, row in list(self.entries.items()):
             link = self.links.get(name)
             if row.state == "gone":
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -166,7 +166,7 @@
     def post(self, event: api.Event) -> None:
         """Queues an event for the controller, which gets it at the end of this turn of the event loop."""
         self._events.append(event)
-        self._has_list_update |= isinstance(event, api.Listed)
+        self._has_list_update |= isinstance(event, api.ListUpdated)
         if not self._processing_scheduled:
             self._processing_scheduled = True
             self.kernel.at_turn_end(self.process_events)
@@ -177,7 +177,7 @@
         events, self._events = self._events, []
         if self._has_list_update:  # list updates also apply to the calls of the same batch
             self._has_list_update = False
-            events.sort(key=lambda event: not isinstance(event, api.Listed))
+            events.sort(key=lambda event: not isinstance(event, api.ListUpdated))
         for action in self.run_controller(events):
             match action:
                 case api.SetUp():
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -498,7 +498,7 @@
                 self.handle_try_ended(message)
             case api.Reported():
                 self.update_circuits(message)
-            case api.Listed():
+            case api.ListUpdated():
                 self.handle_list(message)
             case api.TimerDue(token):
                 self.handle_timer(token)
@@ -513,7 +513,7 @@
             self.exchanges[name] = Exchange(self.loop, self, name)
         return self.exchanges[name]
 
-    def handle_list(self, message: api.Listed) -> None:
+    def handle_list(self, message: api.ListUpdated) -> None:
         for exchange in list(self.exchanges.values()):
             # Drops an exchange that was replaced: its trunk group now belongs to the replacement.
             if exchange.state == "gone" and self.exchanges_by_number.get(exchange.number) is not exchange:
--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ListUpdated:
     """Entries of the exchange list.
 
     form: 'delta' (changes only), 'full' (an exchange that is missing is gone), 'cached' (full, from a stored
@@ -129,7 +129,7 @@
     load: Load
 
 
-Event = Listed | CallArrived | TryAnswered | TryEnded | CallerLeft | TimerDue | Reported
+Event = ListUpdated | CallArrived | TryAnswered | TryEnded | CallerLeft | TimerDue | Reported
 
 
 @dataclass(slots=True, frozen=True)
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -235,7 +235,7 @@
                 self.on_exchange_restarted(member.exchange, started_at)
             if member.number != self.own_number and (previous is None or previous.address != member.address):
                 self.update_link(member)
-        self.post(api.Listed("full" if change.whole else "delta", tuple(entries)))
+        self.post(api.ListUpdated("full" if change.whole else "delta", tuple(entries)))
 
     def update_link(self, member: Member) -> None:
         """Creates or redirects the link of an exchange that is new, back, or at a new address.
--- a/peattrestle/wirehost/host.py
+++ b/peattrestle/wirehost/host.py
@@ -122,11 +122,11 @@
         if form is None:
             return None
         if form == "failed":
-            return api.Listed(form)
+            return api.ListUpdated(form)
         set_id = line.required("SetId")
         if set_id not in self.lists:
             raise Malformed(f"no exchange list with SetId={set_id} was given")
-        return api.Listed(form, self.lists[set_id])
+        return api.ListUpdated(form, self.lists[set_id])
 
 
 def main() -> int:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -46,7 +46,7 @@
         self.now = 0
         self.tries: dict[int, int] = {}
         self.handle_at(
-            0, api.Listed("cached", tuple(api.Entry(f"x{n}", n, "ready") for n in range(exchanges)))
+            0, api.ListUpdated("cached", tuple(api.Entry(f"x{n}", n, "ready") for n in range(exchanges)))
         )
         for number in range(1, exchanges):
             self.report_free(number, (free or {}).get(number, 30))
@@ -78,7 +78,7 @@
 
     def set_state(self, ms: float, number: int, state: str, started: float = 0) -> list[api.Action]:
         entry = api.Entry(f"x{number}", number, state, int(started * MS))
-        return self.handle_at(ms, api.Listed("delta", (entry,)))
+        return self.handle_at(ms, api.ListUpdated("delta", (entry,)))
 
 
 def set_up_routes(actions: list[api.Action]) -> list[str]:
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -848,10 +848,10 @@
 
     monkeypatch.setattr(harness.agent.controller, "handle", handle)
     harness.agent.post(api.TimerDue("a"))
-    harness.agent.post(api.Listed("delta"))
+    harness.agent.post(api.ListUpdated("delta"))
     harness.agent.post(api.CallerLeft(1))
     harness.advance(1)
-    assert seen == [api.Listed("delta"), api.TimerDue("a"), api.CallerLeft(1)]
+    assert seen == [api.ListUpdated("delta"), api.TimerDue("a"), api.CallerLeft(1)]
 
 
 def test_a_call_that_the_controller_leaves_unanswered_is_answered_and_removed(
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -252,9 +252,9 @@
 def test_an_exchange_missing_from_a_full_list_is_gone_and_another_takes_over_its_number() -> None:
     agent = Agent()
     entries = [api.Entry(f"x{n}", n, "ready") for n in (0, 2, 3)]
-    agent.handle_at(5, api.Listed("full", tuple(entries)))
+    agent.handle_at(5, api.ListUpdated("full", tuple(entries)))
     assert final_answers(agent.call(10, 1)) == ["Block"]
-    agent.handle_at(20, api.Listed("delta", (api.Entry("y1", 1, "ready"),)))
+    agent.handle_at(20, api.ListUpdated("delta", (api.Entry("y1", 1, "ready"),)))
     assert set_up_routes(agent.call(30, 2)) == ["y1"]
 
 
@@ -415,8 +415,8 @@
 
 def test_a_list_that_must_be_asked_for_is_followed_and_asked_for_again() -> None:
     controller = Controller(1, {"discovery": "ask"})
-    assert controller.handle(0, [api.Listed("cached")]) == [api.FollowList()]
-    assert [type(action) for action in controller.handle(1, [api.Listed("failed")])] == [api.SetTimer]
+    assert controller.handle(0, [api.ListUpdated("cached")]) == [api.FollowList()]
+    assert [type(action) for action in controller.handle(1, [api.ListUpdated("failed")])] == [api.SetTimer]
     assert controller.handle(2, [api.TimerDue("follow")]) == [api.FollowList()]
 
 
@@ -504,7 +504,7 @@
             "fall_time": 2000 * MS,
         }
     )
-    agent.handle_at(5, api.Listed("delta", (api.Entry("x0", 0, "ready", 5 * MS),)))
+    agent.handle_at(5, api.ListUpdated("delta", (api.Entry("x0", 0, "ready", 5 * MS),)))
     if reported is not None:
         agent.handle_at(6, api.Reported("x2", "served", 0, {"rate": reported}))
     agent.controller._router.exchanges_by_number[0].start_known_at = -(
@@ -622,10 +622,10 @@
         name = "x1" if number == 0 else f"r{number}"
         agent.handle_at(number * 1000 + 10, api.TryAnswered(number, name, 50 * MS, 0))
         new = f"r{number + 1}"
-        agent.handle_at(number * 1000 + 20, api.Listed("delta", (api.Entry(new, 1, "ready", 1),)))
+        agent.handle_at(number * 1000 + 20, api.ListUpdated("delta", (api.Entry(new, 1, "ready", 1),)))
         agent.handle_at(number * 1000 + 20, api.Reported(new, "served", 0, {"free": 30, "size": 30}))
-        agent.handle_at(number * 1000 + 30, api.Listed("delta", (api.Entry(name, 1, "gone"),)))
-    agent.handle_at(40_000, api.Listed("delta", ()))
+        agent.handle_at(number * 1000 + 30, api.ListUpdated("delta", (api.Entry(name, 1, "gone"),)))
+    agent.handle_at(40_000, api.ListUpdated("delta", ()))
     assert (len(router.exchanges), router.circuits) == (4, circuits)
     assert len(router.statistics) <= 1
 
