--- a/benchmarks/module_size.py
+++ b/benchmarks/module_size.py
@@ -34,7 +34,9 @@
     entries = tuple(api.Entry(f"x{number}", number, "ready") for number in range(exchanges))
     controller.handle(0, [api.ListUpdated("full", entries)])
     load = {"free": 4000, "size": 4000}
-    controller.handle(0, [api.Reported(f"x{number}", "served", 0, load) for number in range(1, exchanges)])
+    controller.handle(
+        0, [api.LoadReported(f"x{number}", "served", 0, load) for number in range(1, exchanges)]
+    )
     started = time.perf_counter()
     for call in range(calls):
         now = call * MS
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -493,7 +493,7 @@
                     statistics = found[1].find("Statistics")
                     load = package.read_load(statistics.items or ()) if statistics else {}
                     if load:
-                        self.post(api.Reported(link.exchange, "served", 0, load))
+                        self.post(api.LoadReported(link.exchange, "served", 0, load))
             case Answered("hello", reply):
                 self.on_hello_reply(link, reply)
             case New(request):
@@ -601,7 +601,7 @@
         """Reports a trunk group's circuits to the controller and updates the guard's capacity estimate."""
         exchange = self.numbers.get(group.to)
         if exchange is not None and group.to != self.settings.number:
-            self.post(api.Reported(exchange, "served", 0, {"free": group.free, "size": group.size}))
+            self.post(api.LoadReported(exchange, "served", 0, {"free": group.free, "size": group.size}))
             circuits = sum(other_group.size for other_group in self.groups.values())
             self.guard.carried = circuits / self._max_holding_time
 
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -408,7 +408,7 @@
         self.guard.try_ended(now, call.id, False)
         self.post(api.TryAnswered(call.id, route_try.exchange, now - route_try.sent_at, route_try.number))
         if load:
-            self.post(api.Reported(route_try.exchange, "served", now - route_try.sent_at, load))
+            self.post(api.LoadReported(route_try.exchange, "served", now - route_try.sent_at, load))
         self.answer(call, Final(STOOD))
 
     def log_try(self, text: str, route_try: TryT, **fields: object) -> None:
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -290,7 +290,7 @@
                 self.update_window(message)
             case api.Entry():
                 self.apply_list_entry(message)
-            case api.Reported() | api.TryEnded():
+            case api.LoadReported() | api.TryEnded():
                 self.free_circuits = int(message.load.get("free", self.free_circuits))
                 self.group_size = int(message.load.get("size", self.group_size))
                 self.router.max_setup_rate = max(self.router.max_setup_rate, message.load.get("rate", 0.0))
@@ -496,7 +496,7 @@
                 self.handle_answer(message)
             case api.TryEnded():
                 self.handle_try_ended(message)
-            case api.Reported():
+            case api.LoadReported():
                 self.update_circuits(message)
             case api.ListUpdated():
                 self.handle_list(message)
@@ -575,7 +575,7 @@
         )
         return (late + missing) / max(DelayHistogram.MIN_WEIGHT, sum(self.delays.bins) + missing)
 
-    def update_circuits(self, message: api.Reported | api.TryEnded) -> None:
+    def update_circuits(self, message: api.LoadReported | api.TryEnded) -> None:
         exchange = self.get_exchange(message.exchange)
         self.circuits += max(0, int(message.load.get("size", exchange.group_size))) - max(
             0, exchange.group_size
--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reported:
+class LoadReported:
     """Circuits of the trunk group to an exchange, and the load of its processor where that was asked for."""
 
     exchange: str
@@ -129,7 +129,7 @@
     load: Load
 
 
-Event = ListUpdated | CallArrived | TryAnswered | TryEnded | CallerLeft | TimerDue | Reported
+Event = ListUpdated | CallArrived | TryAnswered | TryEnded | CallerLeft | TimerDue | LoadReported
 
 
 @dataclass(slots=True, frozen=True)
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -588,7 +588,7 @@
         elif verb == "ECHO":
             connection.write(lines.encode_probe_reply(line.tag))
         if load:
-            self.post(api.Reported(link.exchange, "served", 0, load))
+            self.post(api.LoadReported(link.exchange, "served", 0, load))
 
     def handle_exchange_release(self, link: Link, line: lines.Line) -> None:
         """Ends the established call, or keeps the release for a call that is adopted later."""
--- a/peattrestle/wirehost/parse.py
+++ b/peattrestle/wirehost/parse.py
@@ -143,7 +143,7 @@
     `fields`: the names of the values in a load report, in their order.
     """
     if line.kind == "probe_done":
-        return api.Reported(
+        return api.LoadReported(
             line.text("Exchange"),
             words.RESULTS.get(line.text("Result"), "error"),
             line.integer("RttUs") * US,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -57,7 +57,7 @@
 
     def report_free(self, number: int, free: int) -> None:
         load = {"free": free, "size": 30}
-        assert self.handle_at(self.now / MS, api.Reported(f"x{number}", "served", 0, load)) == []
+        assert self.handle_at(self.now / MS, api.LoadReported(f"x{number}", "served", 0, load)) == []
 
     def call(
         self, ms: float, call: int, to: int = 1, patience: float = 3000, **overrides: Any
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -155,7 +155,7 @@
     for call in range(20):
         agent.call(call, call, 3)
         agent.answered(50, call, 3, 1400 if call < late else 50)
-    agent.handle_at(60, api.Reported("x1", "served", 0, {"free": 0, "size": size}))
+    agent.handle_at(60, api.LoadReported("x1", "served", 0, {"free": 0, "size": size}))
     for call in range(20):
         expected -= len(set_up_routes(agent.call(2000 + call, 100 + call, **route)))
         agent.answered(2000 + call, 100 + call, 3, 50)
@@ -506,7 +506,7 @@
     )
     agent.handle_at(5, api.ListUpdated("delta", (api.Entry("x0", 0, "ready", 5 * MS),)))
     if reported is not None:
-        agent.handle_at(6, api.Reported("x2", "served", 0, {"rate": reported}))
+        agent.handle_at(6, api.LoadReported("x2", "served", 0, {"rate": reported}))
     agent.controller._router.exchanges_by_number[0].start_known_at = -(
         1 << 60
     )  # the assumed set-up is long past
@@ -623,7 +623,7 @@
         agent.handle_at(number * 1000 + 10, api.TryAnswered(number, name, 50 * MS, 0))
         new = f"r{number + 1}"
         agent.handle_at(number * 1000 + 20, api.ListUpdated("delta", (api.Entry(new, 1, "ready", 1),)))
-        agent.handle_at(number * 1000 + 20, api.Reported(new, "served", 0, {"free": 30, "size": 30}))
+        agent.handle_at(number * 1000 + 20, api.LoadReported(new, "served", 0, {"free": 30, "size": 30}))
         agent.handle_at(number * 1000 + 30, api.ListUpdated("delta", (api.Entry(name, 1, "gone"),)))
     agent.handle_at(40_000, api.ListUpdated("delta", ()))
     assert (len(router.exchanges), router.circuits) == (4, circuits)
