--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -287,7 +287,7 @@
             requester.name, self.controller.relative_revenue(arrived, call.seen)
         ):
             call.over_share = True
-            arrived = replace(arrived, held=True)
+            arrived = replace(arrived, over_share=True)
         self.take(call, arrived)
 
     def send_pending(self, call: Call) -> None:
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -601,7 +601,12 @@
                 self.loop.now, self.request_key(arrival), arrival.repeat, arrival.cut_before
             )
         )
-        if destination is None or arrival.destination == self.own_number and arrival.transit or arrival.held:
+        if (
+            destination is None
+            or arrival.destination == self.own_number
+            and arrival.transit
+            or arrival.over_share
+        ):
             # No such exchange, or over its gateway's share. Callers whose own agent is away reach the own
             # exchange over a tandem, but a call in transit does not go on from its destination.
             self.refuse(arrival, attempt)
--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -49,7 +49,7 @@
     via: number of a tandem to prefer, in transit that of the exchange the call comes from; -1: none.
     transit: another exchange sent it here to be sent on. cut_before: the caller was in a call that was cut.
     repeat: the gateway marks it as a further try. customer, gateway: who calls, '' where that is not known.
-    held: its gateway is over its share, so the call is only refused with advice when to retry.
+    over_share: its gateway is over its share, so the call is only refused with advice when to retry.
     seen: first or further try, where the agent has already found that out; else the controller does.
     """
 
@@ -65,7 +65,7 @@
     repeat: bool = False
     customer: str = ""
     gateway: str = ""
-    held: bool = False
+    over_share: bool = False
     seen: CallerAttempt | None = None
 
 
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -90,7 +90,7 @@
     def record_limited_calls(now: int, events: Any) -> Any:
         events = list(events)
         limited_calls.extend(
-            event.call for event in events if isinstance(event, api.CallArrived) and event.held
+            event.call for event in events if isinstance(event, api.CallArrived) and event.over_share
         )
         return handle(now, events)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -577,7 +577,7 @@
 
 def test_a_call_over_its_gateways_share_is_refused_with_a_retry_delay() -> None:
     agent = Agent()
-    (answer,) = agent.call(0, 1, 1, held=True)
+    (answer,) = agent.call(0, 1, 1, over_share=True)
     assert isinstance(answer, api.Block) and answer.come_back > 0
 
 
