--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -143,10 +143,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Block:
-    """Final answer: blocked. `come_back`: the caller should retry after this time; 0: no advice."""
+    """Final answer: blocked. `retry_after`: the caller should retry after this time; 0: no advice."""
 
     call: int
-    come_back: int = 0
+    retry_after: int = 0
 
 
 @dataclass(slots=True, frozen=True)
--- a/peattrestle/wirehost/host.py
+++ b/peattrestle/wirehost/host.py
@@ -30,8 +30,8 @@
     match action:
         case api.SetUp(call, exchange, patience):
             return f"issue Agent={agent} Id={call} Exchange={exchange} MaxWaitUs={patience // US}"
-        case api.Block(call, come_back):
-            return f"say_no Agent={agent} Id={call} StayAwayUs={-(-come_back // US)}"
+        case api.Block(call, retry_after):
+            return f"say_no Agent={agent} Id={call} StayAwayUs={-(-retry_after // US)}"
         case api.Abort(call):
             return f"respond_error Agent={agent} Id={call}"
         case api.SetTimer(at, token):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -552,7 +552,7 @@
     delays = []
     for call in calls:
         actions = agent.call(at, call, 1, **fields)
-        delays += [action.come_back // MS for action in actions if isinstance(action, api.Block)]
+        delays += [action.retry_after // MS for action in actions if isinstance(action, api.Block)]
     return delays
 
 
@@ -578,7 +578,7 @@
 def test_a_call_over_its_gateways_share_is_refused_with_a_retry_delay() -> None:
     agent = Agent()
     (answer,) = agent.call(0, 1, 1, over_share=True)
-    assert isinstance(answer, api.Block) and answer.come_back > 0
+    assert isinstance(answer, api.Block) and answer.retry_after > 0
 
 
 @pytest.mark.parametrize(("late", "min_count", "max_count"), [(True, 5, 10), (False, 45, 60)])
