--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -33,7 +33,7 @@
 from peattrestle.platform.releases import CallerReleases
 from peattrestle.platform.request import BadSetUp, SetUpRequest, read_set_up
 from peattrestle.platform.shutdown import run_shutdown
-from peattrestle.policy.shutdown import ShutdownPlan, pause
+from peattrestle.policy.shutdown import ShutdownPlan, retry_delay
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.runtime.supervise import supervised
 from peattrestle.sip import text as sip
@@ -191,7 +191,7 @@
             retry_after = self.max_retry_after
         else:
             allowed = get("come_back", False)
-            retry_after = pause(target, self.max_retry_after, allowed, request.transit)
+            retry_after = retry_delay(target, self.max_retry_after, allowed, request.transit)
         self.counts.add("refused_at_bound" if self.shutdown is None else "refused_in_shutdown")
         self.log("debug", "call refused", reference=request.tag, why=why)
         caller.stream.write(sip.answer(mapping.REFUSED, fields, retry_after_ms=retry_after // MS))
--- a/peattrestle/policy/shutdown.py
+++ b/peattrestle/policy/shutdown.py
@@ -55,7 +55,7 @@
         )
 
 
-def pause(target: int, longest: int, allowed: bool, in_transit: bool) -> int:
+def retry_delay(target: int, longest: int, allowed: bool, in_transit: bool) -> int:
     """Nanoseconds after which a caller refused during a shutdown should retry; 0: no advice.
 
     target: the call's GoS target. longest: upper limit from the settings. allowed: whether the settings allow
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from peattrestle.policy.shutdown import ShutdownPlan, pause
+from peattrestle.policy.shutdown import ShutdownPlan, retry_delay
 
 MS = 1_000_000
 SECOND = 1_000 * MS
@@ -40,7 +40,7 @@
 
 
 def test_the_retry_delay_keeps_to_the_settings() -> None:
-    assert pause(300 * MS, 2 * SECOND, allowed=True, in_transit=False) == 100 * MS
-    assert pause(300 * MS, 50 * MS, allowed=True, in_transit=False) == 50 * MS
-    assert pause(300 * MS, 2 * SECOND, allowed=False, in_transit=False) == 0
-    assert pause(300 * MS, 2 * SECOND, allowed=True, in_transit=True) == 0
+    assert retry_delay(300 * MS, 2 * SECOND, allowed=True, in_transit=False) == 100 * MS
+    assert retry_delay(300 * MS, 50 * MS, allowed=True, in_transit=False) == 50 * MS
+    assert retry_delay(300 * MS, 2 * SECOND, allowed=False, in_transit=False) == 0
+    assert retry_delay(300 * MS, 2 * SECOND, allowed=True, in_transit=True) == 0
