--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -179,7 +179,7 @@
             return "call limit reached"
         plan = self.shutdown
         target = self.config.settings[f"gos_target:{request.bearer_type}"]
-        if plan is not None and (self.refusing_all or not plan.takes(now, request.patience, target)):
+        if plan is not None and (self.refusing_all or not plan.accepts(now, request.patience, target)):
             return "too late in a shutdown"
         return ""
 
--- a/peattrestle/policy/shutdown.py
+++ b/peattrestle/policy/shutdown.py
@@ -38,7 +38,7 @@
         close_at = now + counted + KILL_DELAY - CLOSE_MARGIN
         return cls(now, close_at - ANSWER_BEFORE_CLOSE, close_at)
 
-    def takes(self, now: int, patience: int, target: int) -> bool:
+    def accepts(self, now: int, patience: int, target: int) -> bool:
         """Whether a call that arrives now can still be set up within its GoS target, `target`."""
         return now + min(patience, target) <= self.answer_by
 
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -26,9 +26,9 @@
 def test_a_call_is_accepted_as_long_as_it_can_be_answered_within_its_gos_target() -> None:
     plan = ShutdownPlan.begin(0, 1_000 * MS)
     target, patience = 400 * MS, 900 * MS
-    assert plan.takes(plan.answer_by - target, patience, target)
-    assert not plan.takes(plan.answer_by - target + 1, patience, target)
-    assert plan.takes(plan.answer_by - 100 * MS, 100 * MS, target)
+    assert plan.accepts(plan.answer_by - target, patience, target)
+    assert not plan.accepts(plan.answer_by - target + 1, patience, target)
+    assert plan.accepts(plan.answer_by - 100 * MS, 100 * MS, target)
 
 
 def test_the_shutdown_ends_early_only_without_calls_and_set_ups() -> None:
