--- a/peattrestle/platform/shutdown.py
+++ b/peattrestle/platform/shutdown.py
@@ -18,7 +18,7 @@
 def run_shutdown(agent: Agent, plan: ShutdownPlan) -> Coroutine[None]:
     """Stops the agent at `plan.close_at`, or earlier when it holds no calls and receives no set-ups."""
     kernel = agent.kernel
-    while not plan.may_end(kernel.now() + ANSWER_BEFORE_CLOSE, agent.last_set_up_at, len(agent.calls)):
+    while not plan.can_end(kernel.now() + ANSWER_BEFORE_CLOSE, agent.last_set_up_at, len(agent.calls)):
         yield from kernel.sleep(POLL_INTERVAL)
     agent.connections.stop_listening()
     agent.refusing_all = True
--- a/peattrestle/policy/shutdown.py
+++ b/peattrestle/policy/shutdown.py
@@ -46,7 +46,7 @@
         """The abandon time of a call: `requested`, but no later than the last answers are due."""
         return min(requested, self.answer_by)
 
-    def may_end(self, now: int, last_set_up_at: int, open_calls: int) -> bool:
+    def can_end(self, now: int, last_set_up_at: int, open_calls: int) -> bool:
         """Whether the shutdown may end now; `open_calls`: calls that are being set up or in progress."""
         if now >= self.close_at:
             return True
--- a/tests/policy/test_shutdown.py
+++ b/tests/policy/test_shutdown.py
@@ -20,7 +20,7 @@
     assert SECOND < plan.answer_by < plan.close_at <= SECOND + earliest_kill * MS - CROSSING_TIME
     assert plan.abandon_at(SECOND + 70_000 * MS) == plan.answer_by
     assert plan.abandon_at(SECOND + 1) == SECOND + 1
-    assert plan.may_end(plan.close_at, plan.close_at, open_calls=5)
+    assert plan.can_end(plan.close_at, plan.close_at, open_calls=5)
 
 
 def test_a_call_is_accepted_as_long_as_it_can_be_answered_within_its_gos_target() -> None:
@@ -33,10 +33,10 @@
 
 def test_the_shutdown_ends_early_only_without_calls_and_set_ups() -> None:
     plan = ShutdownPlan.begin(0, 3_000 * MS)
-    assert plan.may_end(SECOND, 400 * MS, open_calls=0)
-    assert not plan.may_end(SECOND, 400 * MS, open_calls=1)
-    assert not plan.may_end(SECOND, 600 * MS, open_calls=0)
-    assert not plan.may_end(900 * MS, 0, open_calls=0)
+    assert plan.can_end(SECOND, 400 * MS, open_calls=0)
+    assert not plan.can_end(SECOND, 400 * MS, open_calls=1)
+    assert not plan.can_end(SECOND, 600 * MS, open_calls=0)
+    assert not plan.can_end(900 * MS, 0, open_calls=0)
 
 
 def test_the_retry_delay_keeps_to_the_settings() -> None:
