--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -29,7 +29,7 @@
 from peattrestle.agent.registry import Registry
 from peattrestle.agent.requester import Requester, RequesterTable
 from peattrestle.agent.storms import Storms
-from peattrestle.calls.core import OPEN, REFUSED, STOOD, Core, Final, Log, Unsent
+from peattrestle.calls.core import ANSWERED, OPEN, REFUSED, Core, Final, Log, Unsent
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.h248 import package
@@ -189,7 +189,7 @@
 
     def worded(self, call: Call, final: Final) -> Outcome:
         """The final answer as an H.248 outcome."""
-        if final.kind == STOOD:
+        if final.kind == ANSWERED:
             return Outcome(0, str(call.id))
         if final.kind != REFUSED:
             return INTERNAL_ERROR if final.own_fault else Outcome(package.FAILED, text="failed")
@@ -402,7 +402,7 @@
         if call.pending_timer is not None:
             call.pending_timer.cancel()
         self.counts.add(("transit_" if call.asker is self.own_exchange else "") + final.kind)
-        if call.asker is not self.own_exchange and final.kind == STOOD:
+        if call.asker is not self.own_exchange and final.kind == ANSWERED:
             self.storms.door.count_answered(self.kernel.now())
         elif call.asker is not self.own_exchange and not call.over_share:
             self.storms.door.count_refused(self.kernel.now())
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -26,7 +26,7 @@
 # States of a call.
 OPEN, ESTABLISHED, ENDED = "open", "stands", "over"
 # Kinds of a final answer.
-STOOD, REFUSED, FAILED = "stood", "refused", "failed"
+ANSWERED, REFUSED, FAILED = "stood", "refused", "failed"
 
 Log = Callable[..., None]
 
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Final:
-    """A final answer of kind STOOD, REFUSED or FAILED.
+    """A final answer of kind ANSWERED, REFUSED or FAILED.
 
     `come_back` is the retry-after advice in nanoseconds, 0 for none. `own_fault` is true when the agent
     itself failed rather than a route.
@@ -409,7 +409,7 @@
         self.post(api.TryAnswered(call.id, route_try.exchange, now - route_try.sent_at, route_try.number))
         if load:
             self.post(api.LoadReported(route_try.exchange, "served", now - route_try.sent_at, load))
-        self.answer(call, Final(STOOD))
+        self.answer(call, Final(ANSWERED))
 
     def log_try(self, text: str, route_try: TryT, **fields: object) -> None:
         self.log(
@@ -462,7 +462,7 @@
             if self.tracing:
                 self.log_answer(call, final)
             self.reply(call, final)
-        if final.kind != STOOD or violated_rule:
+        if final.kind != ANSWERED or violated_rule:
             if call.answered_try is not None:
                 self.end_try(call.answered_try, tell=True)
             self.forget(call)
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, replace
 
 from peattrestle import interface as api
-from peattrestle.calls.core import ESTABLISHED, FAILED, OPEN, STOOD, Call, Core, Final, RouteTry, Unsent
+from peattrestle.calls.core import ANSWERED, ESTABLISHED, FAILED, OPEN, Call, Core, Final, RouteTry, Unsent
 from peattrestle.calls.core import REFUSED as BLOCKED
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
@@ -469,15 +469,15 @@
         call.answered = True
         if caller is None:
             return
-        if final.kind == STOOD:
-            data = sip.answer(mapping.STOOD, call.fields, call.description.encode())
+        if final.kind == ANSWERED:
+            data = sip.answer(mapping.ANSWERED, call.fields, call.description.encode())
         elif final.kind == BLOCKED:
             data = sip.answer(mapping.REFUSED, call.fields, retry_after_ms=-(-final.come_back // MS))
         else:
             data = sip.answer(mapping.OWN_FAULT if final.own_fault else mapping.FAILED, call.fields)
         caller.stream.write(data)
         caller.open_calls.pop(call.request.tag, None)
-        if final.kind == STOOD:
+        if final.kind == ANSWERED:
             self.releases.on_call_established(caller)
         self.connections.close_if_done(caller)
         call.fields, call.description = {}, ""
--- a/peattrestle/platform/mapping.py
+++ b/peattrestle/platform/mapping.py
@@ -23,7 +23,7 @@
     lines.RESET: "reset",
 }
 # Kind of a final answer -> SIP status; OWN_FAULT is a failure of the agent itself.
-STOOD, REFUSED, FAILED, OWN_FAULT = 200, 503, 408, 500
+ANSWERED, REFUSED, FAILED, OWN_FAULT = 200, 503, 408, 500
 
 
 def parse_load(text: str | int | float) -> api.Load:
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -9,7 +9,7 @@
 
 from peattrestle import interface as api
 from peattrestle.agent.agent import CallAgent
-from peattrestle.calls.core import STOOD, Final
+from peattrestle.calls.core import ANSWERED, Final
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.h248 import package
@@ -58,7 +58,7 @@
             self.controller = CarelessController(self)
 
     def answer(self, call: Any, final: Final) -> None:
-        if self.fault == "late" and final.kind == STOOD and call.id % 5 == 0:
+        if self.fault == "late" and final.kind == ANSWERED and call.id % 5 == 0:
             self.kernel.at(call.abandon_at + 200 * MS, lambda: super(FaultyAgent, self).answer(call, final))
             return
         if self.fault == "never" and call.id % 5 == 0:
