--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -197,7 +197,7 @@
         if call.asker is self.own_exchange:
             # In transit the previous exchange is told what was full: this tandem, or a hop beyond it.
             cause = "beyond_full" if call.cause == "processor_full" else "turned_back"
-        return Outcome(package.REFUSED, text="refused", come_back=final.come_back, cause=cause)
+        return Outcome(package.REFUSED, text="refused", come_back=final.retry_after, cause=cause)
 
     # Incoming calls.
 
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -85,12 +85,12 @@
 class Final:
     """A final answer of kind ANSWERED, REFUSED or FAILED.
 
-    `come_back` is the retry-after advice in nanoseconds, 0 for none. `own_fault` is true when the agent
+    `retry_after` is the retry-after advice in nanoseconds, 0 for none. `own_fault` is true when the agent
     itself failed rather than a route.
     """
 
     kind: str
-    come_back: int = 0
+    retry_after: int = 0
     own_fault: bool = False
 
 
@@ -432,7 +432,7 @@
             ms=(self.kernel.now() - call.arrived) // 1_000_000,
             route_tries=call.tries,
             cause=call.cause,
-            come_back_ms=final.come_back // 1_000_000,
+            come_back_ms=final.retry_after // 1_000_000,
         )
 
     def answer_by_id(self, call_id: int, final: Final) -> None:
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -472,7 +472,7 @@
         if final.kind == ANSWERED:
             data = sip.answer(mapping.ANSWERED, call.fields, call.description.encode())
         elif final.kind == BLOCKED:
-            data = sip.answer(mapping.REFUSED, call.fields, retry_after_ms=-(-final.come_back // MS))
+            data = sip.answer(mapping.REFUSED, call.fields, retry_after_ms=-(-final.retry_after // MS))
         else:
             data = sip.answer(mapping.OWN_FAULT if final.own_fault else mapping.FAILED, call.fields)
         caller.stream.write(data)
