--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -56,7 +56,7 @@
 
     `state` is 'open' until the final answer, 'stands' while the call is established, then 'over'. `arrived`
     is the arrival time, `abandon_at` the time by which the final answer is due, `tries` the number of route
-    tries started, and `overdue` the timer that answers the call when the controller does not.
+    tries started, and `answer_timer` the timer that answers the call when the controller does not.
     """
 
     id: int
@@ -66,7 +66,7 @@
     tries: int = 0
     pending_try: TryT | None = None
     answered_try: TryT | None = None
-    overdue: Timer | None = None
+    answer_timer: Timer | None = None
     cause: str = ""  # of the last failed route try
 
 
@@ -225,7 +225,7 @@
                 **fields,
             )
         self.guard.arrived(call.id, call.abandon_at)
-        call.overdue = self.kernel.at(
+        call.answer_timer = self.kernel.at(
             call.abandon_at - self.answer_margin // 2, lambda: self.on_answer_overdue(call)
         )
         self.post(arrived)
@@ -293,8 +293,8 @@
     def forget(self, call: CallT) -> None:
         """Removes a call that is over from all tables."""
         call.state = ENDED
-        if call.overdue is not None:
-            call.overdue.cancel()
+        if call.answer_timer is not None:
+            call.answer_timer.cancel()
         self.calls.pop(call.id, None)
         self.guard.over(call.id)
         self.dropped(call)
@@ -466,5 +466,5 @@
             if call.answered_try is not None:
                 self.end_try(call.answered_try, tell=True)
             self.forget(call)
-        elif call.overdue is not None:
-            call.overdue.cancel()
+        elif call.answer_timer is not None:
+            call.answer_timer.cancel()
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -62,8 +62,8 @@
             self.kernel.at(call.abandon_at + 200 * MS, lambda: super(FaultyAgent, self).answer(call, final))
             return
         if self.fault == "never" and call.id % 5 == 0:
-            if call.overdue is not None:
-                call.overdue.cancel()
+            if call.answer_timer is not None:
+                call.answer_timer.cancel()
             return
         super().answer(call, final)
         if self.fault == "twice" and call.id % 5 == 0:
