--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -442,7 +442,7 @@
             return
         now = self.kernel.now()
         row.age = int(age.value or 0)
-        self.guard.told(now, row.exchange, row.state, now - row.age)
+        self.guard.on_exchange_state(now, row.exchange, row.state, now - row.age)
         entry = api.Entry(row.exchange, row.number, row.state, now - row.age, row.zone)
         self.post(api.ListUpdated("delta", (entry,)))
         # The reply may have been delayed, so the exchange may have started as early as the time of the hello
@@ -820,7 +820,7 @@
             for name, row in self.entries.items():
                 if name not in present and row.state != "gone":
                     row.state = "gone"
-                    self.guard.told(now, name, "gone", 0)
+                    self.guard.on_exchange_state(now, name, "gone", 0)
         entries = []
         for row in rows:
             started = now - row.age if row.age >= 0 else 0
@@ -828,7 +828,7 @@
             self.entries[row.exchange] = row
             if row.state == "ready" or row.number not in self.numbers:
                 self.numbers[row.number] = row.exchange
-            self.guard.told(now, row.exchange, row.state, started)
+            self.guard.on_exchange_state(now, row.exchange, row.state, started)
         self.post(api.ListUpdated(form, tuple(entries)))
         for name, row in list(self.entries.items()):
             link = self.links.get(name)
--- a/peattrestle/calls/guard.py
+++ b/peattrestle/calls/guard.py
@@ -71,7 +71,7 @@
         self.refusals[rule] = self.refusals.get(rule, 0) + 1
         return rule
 
-    def told(self, now: int, exchange: str, state: str, started_at: int) -> None:
+    def on_exchange_state(self, now: int, exchange: str, state: str, started_at: int) -> None:
         """Records an exchange's listed state. `started_at`: its start time, 0 if it is not known."""
         record = self.exchanges.setdefault(exchange, ExchangeRecord())
         if state == "ready":
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -211,7 +211,7 @@
         for member in rows:
             started_at = max(1, now - (wall_ms - member.born_ms) * MS) if member.born_ms else 0
             entries.append(api.Entry(member.exchange, member.number, member.state, started_at, member.zone))
-            self.guard.told(now, member.exchange, member.state, started_at)
+            self.guard.on_exchange_state(now, member.exchange, member.state, started_at)
             previous = self.members.get(member.exchange)
             if member.state == GONE:
                 self.log("info", "exchange gone from the list", exchange=member.exchange)
--- a/tests/agent/test_guard.py
+++ b/tests/agent/test_guard.py
@@ -13,8 +13,8 @@
 
 def make_guard() -> Guard:
     guard = Guard(250 * MS, 300 * MS, 1000 * MS, 2.0, 14_000 * MS)
-    guard.told(0, "x1", "ready", 0)
-    guard.told(0, "x2", "ready", 0)
+    guard.on_exchange_state(0, "x1", "ready", 0)
+    guard.on_exchange_state(0, "x2", "ready", 0)
     guard.arrived(1, 5000 * MS)
     return guard
 
@@ -27,17 +27,23 @@
         ("rule 1", lambda guard: None, 5000, "x1"),
         ("rule 1", lambda guard: guard.over(1), 10, "x1"),
         ("rule 2", lambda guard: guard.set_up(5 * MS, 1, "x2"), 10, "x1"),
-        ("rule 3", lambda guard: guard.told(5 * MS, "x1", "draining", 0), 256, "x1"),
-        ("", lambda guard: guard.told(5 * MS, "x1", "draining", 0), 255, "x1"),
+        ("rule 3", lambda guard: guard.on_exchange_state(5 * MS, "x1", "draining", 0), 256, "x1"),
+        ("", lambda guard: guard.on_exchange_state(5 * MS, "x1", "draining", 0), 255, "x1"),
         (
             "rule 3",
-            lambda guard: (guard.told(5 * MS, "x1", "gone", 0), guard.told(200 * MS, "x1", "draining", 0)),
+            lambda guard: (
+                guard.on_exchange_state(5 * MS, "x1", "gone", 0),
+                guard.on_exchange_state(200 * MS, "x1", "draining", 0),
+            ),
             256,
             "x1",
         ),
         (
             "",
-            lambda guard: (guard.told(0, "x1", "gone", 0), guard.told(200 * MS, "x1", "ready", 0)),
+            lambda guard: (
+                guard.on_exchange_state(0, "x1", "gone", 0),
+                guard.on_exchange_state(200 * MS, "x1", "ready", 0),
+            ),
             900,
             "x1",
         ),
@@ -66,7 +72,7 @@
 def test_one_agent_alone_does_not_overload_a_cold_exchange() -> None:
     guard = make_guard()
     guard.carried = 5 / (1000 * MS)  # five set-ups a second; the limit is twice that
-    guard.told(0, "x1", "ready", 1 * MS)
+    guard.on_exchange_state(0, "x1", "ready", 1 * MS)
     violations = []
     for call in range(2, 20):
         guard.arrived(call, 60_000 * MS)
