--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -307,7 +307,7 @@
         call = self.calls.get(action.call)
         if action.call in self._callers_left:
             return  # requested by an event that precedes the call's end in the same batch
-        violated_rule = self.guard.set_up(now, action.call, action.exchange)
+        violated_rule = self.guard.check_set_up(now, action.call, action.exchange)
         if violated_rule or call is None:
             self.counts.add("guard_refusals")
             self.log(
--- a/peattrestle/calls/guard.py
+++ b/peattrestle/calls/guard.py
@@ -85,7 +85,7 @@
         """Starts tracking a call whose final answer is due by `abandon_at`."""
         self.calls[call] = CallRecord(abandon_at)
 
-    def set_up(self, now: int, call: int, exchange: str) -> str:
+    def check_set_up(self, now: int, call: int, exchange: str) -> str:
         """Returns the rule that this set-up would break, or '' and records it as the pending try."""
         record, exchange_record = self.calls.get(call), self.exchanges.get(exchange)
         if record is None or record.answered:
--- a/tests/agent/test_guard.py
+++ b/tests/agent/test_guard.py
@@ -26,7 +26,7 @@
         ("rule 1", lambda guard: guard.answer(5 * MS, 1), 10, "x1"),
         ("rule 1", lambda guard: None, 5000, "x1"),
         ("rule 1", lambda guard: guard.over(1), 10, "x1"),
-        ("rule 2", lambda guard: guard.set_up(5 * MS, 1, "x2"), 10, "x1"),
+        ("rule 2", lambda guard: guard.check_set_up(5 * MS, 1, "x2"), 10, "x1"),
         ("rule 3", lambda guard: guard.on_exchange_state(5 * MS, "x1", "draining", 0), 256, "x1"),
         ("", lambda guard: guard.on_exchange_state(5 * MS, "x1", "draining", 0), 255, "x1"),
         (
@@ -56,7 +56,7 @@
 def test_set_ups(rule: str, before: Callable[[Guard], object], at: int, exchange: str) -> None:
     guard = make_guard()
     before(guard)
-    violation = guard.set_up(at * MS, 1, exchange)
+    violation = guard.check_set_up(at * MS, 1, exchange)
     assert violation.startswith(rule) and bool(violation) == bool(rule)
     assert sum(guard.refusals.values()) == bool(rule)
 
@@ -76,7 +76,7 @@
     violations = []
     for call in range(2, 20):
         guard.arrived(call, 60_000 * MS)
-        violations.append(guard.set_up((100 + call) * MS, call, "x1"))
+        violations.append(guard.check_set_up((100 + call) * MS, call, "x1"))
     assert [bool(violation) for violation in violations] == [False] * 10 + [True] * 8
     guard.arrived(50, 60_000 * MS)
-    assert guard.set_up(2000 * MS, 50, "x1") == ""
+    assert guard.check_set_up(2000 * MS, 50, "x1") == ""
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -38,7 +38,7 @@
 class PermissiveGuard(Guard):
     """A guard that permits everything."""
 
-    def set_up(self, now: int, call: int, exchange: str) -> str:
+    def check_set_up(self, now: int, call: int, exchange: str) -> str:
         return ""
 
     def answer(self, now: int, call: int) -> str:
