--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -445,7 +445,7 @@
 
         When the guard refuses the answer, the front end decides in `misanswered` whether the call ends.
         """
-        violated_rule = self.guard.answer(self.kernel.now(), call.id)
+        violated_rule = self.guard.check_answer(self.kernel.now(), call.id)
         if violated_rule:
             self.counts.add("guard_refusals")
             level = "warning" if violated_rule == LATE_ANSWER else "error"
--- a/peattrestle/calls/guard.py
+++ b/peattrestle/calls/guard.py
@@ -122,7 +122,7 @@
             if cut_off:
                 record.earliest_retry_at = max(record.earliest_retry_at, now + self.release_time)
 
-    def answer(self, now: int, call: int) -> str:
+    def check_answer(self, now: int, call: int) -> str:
         """Returns the rule that a final answer would break now, or '' and records the call as answered."""
         record = self.calls.get(call)
         if record is None or record.answered:
--- a/tests/agent/test_guard.py
+++ b/tests/agent/test_guard.py
@@ -23,7 +23,7 @@
     ("rule", "before", "at", "exchange"),
     [
         ("", lambda guard: None, 10, "x1"),
-        ("rule 1", lambda guard: guard.answer(5 * MS, 1), 10, "x1"),
+        ("rule 1", lambda guard: guard.check_answer(5 * MS, 1), 10, "x1"),
         ("rule 1", lambda guard: None, 5000, "x1"),
         ("rule 1", lambda guard: guard.over(1), 10, "x1"),
         ("rule 2", lambda guard: guard.check_set_up(5 * MS, 1, "x2"), 10, "x1"),
@@ -65,7 +65,7 @@
 def test_answers(at: int, times: int, refused: int) -> None:
     guard = make_guard()
     for _ in range(times):
-        guard.answer(at * MS, 1)
+        guard.check_answer(at * MS, 1)
     assert sum(guard.refusals.values()) == refused
 
 
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -41,7 +41,7 @@
     def check_set_up(self, now: int, call: int, exchange: str) -> str:
         return ""
 
-    def answer(self, now: int, call: int) -> str:
+    def check_answer(self, now: int, call: int) -> str:
         return ""
 
 
