--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -224,7 +224,7 @@
                 patience_ms=patience_ms,
                 **fields,
             )
-        self.guard.arrived(call.id, call.abandon_at)
+        self.guard.on_call_arrived(call.id, call.abandon_at)
         call.answer_timer = self.kernel.at(
             call.abandon_at - self.answer_margin // 2, lambda: self.on_answer_overdue(call)
         )
--- a/peattrestle/calls/guard.py
+++ b/peattrestle/calls/guard.py
@@ -81,7 +81,7 @@
         if started_at:
             record.cold_until = max(record.cold_until, started_at + self.cold_time)
 
-    def arrived(self, call: int, abandon_at: int) -> None:
+    def on_call_arrived(self, call: int, abandon_at: int) -> None:
         """Starts tracking a call whose final answer is due by `abandon_at`."""
         self.calls[call] = CallRecord(abandon_at)
 
--- a/tests/agent/test_guard.py
+++ b/tests/agent/test_guard.py
@@ -15,7 +15,7 @@
     guard = Guard(250 * MS, 300 * MS, 1000 * MS, 2.0, 14_000 * MS)
     guard.on_exchange_state(0, "x1", "ready", 0)
     guard.on_exchange_state(0, "x2", "ready", 0)
-    guard.arrived(1, 5000 * MS)
+    guard.on_call_arrived(1, 5000 * MS)
     return guard
 
 
@@ -75,8 +75,8 @@
     guard.on_exchange_state(0, "x1", "ready", 1 * MS)
     violations = []
     for call in range(2, 20):
-        guard.arrived(call, 60_000 * MS)
+        guard.on_call_arrived(call, 60_000 * MS)
         violations.append(guard.check_set_up((100 + call) * MS, call, "x1"))
     assert [bool(violation) for violation in violations] == [False] * 10 + [True] * 8
-    guard.arrived(50, 60_000 * MS)
+    guard.on_call_arrived(50, 60_000 * MS)
     assert guard.check_set_up(2000 * MS, 50, "x1") == ""
