--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -269,7 +269,7 @@
         route_try = call.pending_try
         if route_try is not None:
             self.end_try(route_try, tell=True)
-            self.guard.try_ended(self.kernel.now(), call.id, True)
+            self.guard.on_try_ended(self.kernel.now(), call.id, True)
             self.post(
                 api.TryEnded(
                     call.id,
@@ -326,7 +326,7 @@
         call.tries += 1
         launched = self.launch(call, action, number)
         if isinstance(launched, Unsent):
-            self.guard.try_ended(now, call.id, False)
+            self.guard.on_try_ended(now, call.id, False)
             self.counts.add("unsent")
             if self.tracing:
                 fields = {"exchange": action.exchange, "result": launched.result}
@@ -368,7 +368,7 @@
         if self.tracing:
             self.log_try("route try ended", route_try, result=result, cause=cause)
         self.end_try(route_try, tell)
-        self.guard.try_ended(now, call.id, cut_off)
+        self.guard.on_try_ended(now, call.id, cut_off)
         self.post(
             api.TryEnded(
                 call.id,
@@ -405,7 +405,7 @@
         if self.tracing:
             self.log_try("stands", route_try, ms=(now - route_try.sent_at) // 1_000_000)
         call.pending_try, call.answered_try, call.state = None, route_try, ESTABLISHED
-        self.guard.try_ended(now, call.id, False)
+        self.guard.on_try_ended(now, call.id, False)
         self.post(api.TryAnswered(call.id, route_try.exchange, now - route_try.sent_at, route_try.number))
         if load:
             self.post(api.LoadReported(route_try.exchange, "served", now - route_try.sent_at, load))
--- a/peattrestle/calls/guard.py
+++ b/peattrestle/calls/guard.py
@@ -114,7 +114,7 @@
         record.pending_exchange = exchange
         return ""
 
-    def try_ended(self, now: int, call: int, cut_off: bool) -> None:
+    def on_try_ended(self, now: int, call: int, cut_off: bool) -> None:
         """Records the end of the pending try. `cut_off`: it timed out, was reset or cancelled (rule 5)."""
         record = self.calls.get(call)
         if record is not None:
--- a/tests/agent/test_guard.py
+++ b/tests/agent/test_guard.py
@@ -48,9 +48,9 @@
             "x1",
         ),
         ("rule 3", lambda guard: None, 10, "x9"),
-        ("rule 5", lambda guard: guard.try_ended(5 * MS, 1, True), 304, "x1"),
-        ("", lambda guard: guard.try_ended(5 * MS, 1, True), 305, "x1"),
-        ("", lambda guard: guard.try_ended(5 * MS, 1, False), 6, "x1"),
+        ("rule 5", lambda guard: guard.on_try_ended(5 * MS, 1, True), 304, "x1"),
+        ("", lambda guard: guard.on_try_ended(5 * MS, 1, True), 305, "x1"),
+        ("", lambda guard: guard.on_try_ended(5 * MS, 1, False), 6, "x1"),
     ],
 )
 def test_set_ups(rule: str, before: Callable[[Guard], object], at: int, exchange: str) -> None:
