--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -296,7 +296,7 @@
         if call.answer_timer is not None:
             call.answer_timer.cancel()
         self.calls.pop(call.id, None)
-        self.guard.over(call.id)
+        self.guard.on_call_over(call.id)
         self.dropped(call)
 
     # Route tries and answers.
--- a/peattrestle/calls/guard.py
+++ b/peattrestle/calls/guard.py
@@ -133,6 +133,6 @@
         record.answered = True
         return ""
 
-    def over(self, call: int) -> None:
+    def on_call_over(self, call: int) -> None:
         """Stops tracking a call."""
         self.calls.pop(call, None)
--- a/tests/agent/test_guard.py
+++ b/tests/agent/test_guard.py
@@ -25,7 +25,7 @@
         ("", lambda guard: None, 10, "x1"),
         ("rule 1", lambda guard: guard.check_answer(5 * MS, 1), 10, "x1"),
         ("rule 1", lambda guard: None, 5000, "x1"),
-        ("rule 1", lambda guard: guard.over(1), 10, "x1"),
+        ("rule 1", lambda guard: guard.on_call_over(1), 10, "x1"),
         ("rule 2", lambda guard: guard.check_set_up(5 * MS, 1, "x2"), 10, "x1"),
         ("rule 3", lambda guard: guard.on_exchange_state(5 * MS, "x1", "draining", 0), 256, "x1"),
         ("", lambda guard: guard.on_exchange_state(5 * MS, "x1", "draining", 0), 255, "x1"),
