--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -411,7 +411,7 @@
             package.outcome_text(call.transaction, call.asked.termination, self.worded(call, final)),
         )
 
-    def misanswered(self, call: Call) -> bool:
+    def on_answer_refused(self, call: Call) -> bool:
         """Closes the call's transaction as failed, without sending the reply.
 
         False where it had been answered already.
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -108,7 +108,7 @@
 class Core(Generic[CallT, TryT]):
     """Base class of the protocol front ends.
 
-    A subclass implements `launch`, `end_launched`, `reply`, `misanswered` and `dropped`.
+    A subclass implements `launch`, `end_launched`, `reply`, `on_answer_refused` and `dropped`.
 
     The controller's answers are due `answer_margin` nanoseconds before a call's abandon time; half of that
     margin before it, the core answers by itself. Log lines go to `log(level, text, **fields)`.
@@ -145,7 +145,7 @@
         """Sends the final answer to the caller."""
         raise NotImplementedError
 
-    def misanswered(self, call: CallT) -> bool:
+    def on_answer_refused(self, call: CallT) -> bool:
         """Handles a final answer that the guard refused.
 
         Returns False if the call was answered before, and its state is then left unchanged.
@@ -443,7 +443,7 @@
     def answer(self, call: CallT, final: Final) -> None:
         """Sends the final answer after the guard's check; removes the call unless it is established by it.
 
-        When the guard refuses the answer, the front end decides in `misanswered` whether the call ends.
+        When the guard refuses the answer, the front end decides in `on_answer_refused` whether the call ends.
         """
         violated_rule = self.guard.check_answer(self.kernel.now(), call.id)
         if violated_rule:
@@ -456,7 +456,7 @@
                 call=call.id,
                 reference=self.named(call),
             )
-            if not self.misanswered(call):
+            if not self.on_answer_refused(call):
                 return
         else:
             if self.tracing:
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -482,7 +482,7 @@
         self.connections.close_if_done(caller)
         call.fields, call.description = {}, ""
 
-    def misanswered(self, call: SipCall) -> bool:
+    def on_answer_refused(self, call: SipCall) -> bool:
         """Answers a call as failed after its abandon time, since a call without any answer would be lost."""
         if call.answered:
             return False
