--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -349,7 +349,7 @@
 
     # Route tries.
 
-    def launch(self, call: Call, action: api.SetUp, number: int) -> RouteTry | Unsent:
+    def send_set_up(self, call: Call, action: api.SetUp, number: int) -> RouteTry | Unsent:
         """Sends the set-up of route try `number` to an exchange, or returns why it can't be sent."""
         request, link = call.asked, self.links.get(action.exchange)
         own_link = self.links.get(self.numbers.get(self.settings.number, ""))
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -108,7 +108,7 @@
 class Core(Generic[CallT, TryT]):
     """Base class of the protocol front ends.
 
-    A subclass implements `launch`, `end_launched`, `reply`, `on_answer_refused` and `dropped`.
+    A subclass implements `send_set_up`, `end_launched`, `reply`, `on_answer_refused` and `dropped`.
 
     The controller's answers are due `answer_margin` nanoseconds before a call's abandon time; half of that
     margin before it, the core answers by itself. Log lines go to `log(level, text, **fields)`.
@@ -130,7 +130,7 @@
 
     # Implemented by each front end.
 
-    def launch(self, call: CallT, action: api.SetUp, number: int) -> TryT | Unsent:
+    def send_set_up(self, call: CallT, action: api.SetUp, number: int) -> TryT | Unsent:
         """Sends the set-up of route try `number`; returns the try, or why it was not sent."""
         raise NotImplementedError
 
@@ -324,7 +324,7 @@
             return
         number = call.tries
         call.tries += 1
-        launched = self.launch(call, action, number)
+        launched = self.send_set_up(call, action, number)
         if isinstance(launched, Unsent):
             self.guard.on_try_ended(now, call.id, False)
             self.counts.add("unsent")
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -433,7 +433,7 @@
 
     # Interface of the core, see `Core`.
 
-    def launch(self, call: SipCall, action: api.SetUp, number: int) -> LinkTry | Unsent:
+    def send_set_up(self, call: SipCall, action: api.SetUp, number: int) -> LinkTry | Unsent:
         link = self.links.get(action.exchange)
         if link is None or not link.is_up and not link.may_connect:
             return Unsent()
