--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -389,7 +389,7 @@
         self.terminations[route_try.termination] = route_try
         return route_try
 
-    def end_launched(self, route_try: RouteTry, tell: bool) -> None:
+    def release_try(self, route_try: RouteTry, tell: bool) -> None:
         """Forgets a route try; `tell`: the exchange is sent a Subtract, as it may hold a circuit for it."""
         if route_try.state == "out":
             route_try.link.transactions.give_up(route_try.transaction)
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -108,7 +108,7 @@
 class Core(Generic[CallT, TryT]):
     """Base class of the protocol front ends.
 
-    A subclass implements `send_set_up`, `end_launched`, `reply`, `on_answer_refused` and `dropped`.
+    A subclass implements `send_set_up`, `release_try`, `reply`, `on_answer_refused` and `dropped`.
 
     The controller's answers are due `answer_margin` nanoseconds before a call's abandon time; half of that
     margin before it, the core answers by itself. Log lines go to `log(level, text, **fields)`.
@@ -134,7 +134,7 @@
         """Sends the set-up of route try `number`; returns the try, or why it was not sent."""
         raise NotImplementedError
 
-    def end_launched(self, route_try: TryT, tell: bool) -> None:
+    def release_try(self, route_try: TryT, tell: bool) -> None:
         """Releases what the front end holds for a finished route try.
 
         `tell`: the exchange may still hold resources for the try, so it is sent a release.
@@ -390,7 +390,7 @@
         """
         if route_try.timer is not None:
             route_try.timer.cancel()
-        self.end_launched(route_try, tell)
+        self.release_try(route_try, tell)
         route_try.state = "over"
         if route_try.call.pending_try is route_try:
             route_try.call.pending_try = None
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -446,7 +446,7 @@
         link.send_set_up(route_try, request.tag, data)
         return route_try
 
-    def end_launched(self, route_try: LinkTry, tell: bool) -> None:
+    def release_try(self, route_try: LinkTry, tell: bool) -> None:
         tag, link = route_try.call.request.tag, route_try.link
         if route_try.state == "out":
             link.remove_try(route_try, tag, lines.encode_release(tag, lines.NORMAL) if tell else b"")
