--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -337,7 +337,7 @@
             ),
         )
 
-    def dropped(self, call: Call) -> None:
+    def on_call_removed(self, call: Call) -> None:
         """Forgets the call's Pending timer and its termination."""
         if call.pending_timer is not None:
             call.pending_timer.cancel()
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -108,7 +108,7 @@
 class Core(Generic[CallT, TryT]):
     """Base class of the protocol front ends.
 
-    A subclass implements `send_set_up`, `release_try`, `reply`, `on_answer_refused` and `dropped`.
+    A subclass implements `send_set_up`, `release_try`, `reply`, `on_answer_refused` and `on_call_removed`.
 
     The controller's answers are due `answer_margin` nanoseconds before a call's abandon time; half of that
     margin before it, the core answers by itself. Log lines go to `log(level, text, **fields)`.
@@ -152,7 +152,7 @@
         """
         raise NotImplementedError
 
-    def dropped(self, call: CallT) -> None:
+    def on_call_removed(self, call: CallT) -> None:
         """Removes the front end's state of a call that is over."""
         raise NotImplementedError
 
@@ -297,7 +297,7 @@
             call.answer_timer.cancel()
         self.calls.pop(call.id, None)
         self.guard.on_call_over(call.id)
-        self.dropped(call)
+        self.on_call_removed(call)
 
     # Route tries and answers.
 
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -489,7 +489,7 @@
         self.reply(call, Final(FAILED))
         return True
 
-    def dropped(self, call: SipCall) -> None:
+    def on_call_removed(self, call: SipCall) -> None:
         tag = call.request.tag
         if self.calls_by_tag.get(tag) is call:
             del self.calls_by_tag[tag]
