--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -343,7 +343,7 @@
             call.pending_timer.cancel()
         call.asker.calls.pop(call.asked.termination, None)
 
-    def named(self, call: Call) -> str:
+    def reference_of(self, call: Call) -> str:
         """The caller's reference of the call, for the log."""
         return call.asked.reference
 
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -220,7 +220,7 @@
                 "debug",
                 "call taken",
                 call=call.id,
-                reference=self.named(call),
+                reference=self.reference_of(call),
                 patience_ms=patience_ms,
                 **fields,
             )
@@ -242,7 +242,9 @@
         """Fails a call that the controller left unanswered, which is a fault of the controller."""
         if call.state == OPEN:
             self.counts.add("overdue")
-            self.log("error", "controller left a call unanswered", call=call.id, reference=self.named(call))
+            self.log(
+                "error", "controller left a call unanswered", call=call.id, reference=self.reference_of(call)
+            )
             self.give_up(call, own_fault=True)
 
     def give_up(self, call: CallT, own_fault: bool = False) -> None:
@@ -251,14 +253,14 @@
         self.post(api.CallerLeft(call.id))
         self.answer(call, Final(FAILED, own_fault=own_fault))
 
-    def named(self, call: CallT) -> str:
+    def reference_of(self, call: CallT) -> str:
         """Returns the client's own identifier of the call, for the log."""
         return str(call.id)
 
     def caller_left(self, call: CallT) -> None:
         """Handles an open call whose caller is gone: no answer is due, and a pending try is cancelled."""
         if self.tracing:
-            self.log("debug", "caller left", call=call.id, reference=self.named(call))
+            self.log("debug", "caller left", call=call.id, reference=self.reference_of(call))
         self.post(api.CallerLeft(call.id))
         self._callers_left.add(call.id)
         self.cancel_pending_try(call, "cancelled")
@@ -330,7 +332,9 @@
             self.counts.add("unsent")
             if self.tracing:
                 fields = {"exchange": action.exchange, "result": launched.result}
-                self.log("debug", "set-up not sent", call=call.id, reference=self.named(call), **fields)
+                self.log(
+                    "debug", "set-up not sent", call=call.id, reference=self.reference_of(call), **fields
+                )
             self.post(
                 api.TryEnded(call.id, action.exchange, launched.result, 0, number, False, launched.cause)
             )
@@ -416,7 +420,7 @@
             "debug",
             text,
             call=route_try.call.id,
-            reference=self.named(route_try.call),
+            reference=self.reference_of(route_try.call),
             route_try=route_try.number,
             exchange=route_try.exchange,
             **fields,
@@ -427,7 +431,7 @@
             "debug",
             "final answer",
             call=call.id,
-            reference=self.named(call),
+            reference=self.reference_of(call),
             answer=final.kind,
             ms=(self.kernel.now() - call.arrived) // 1_000_000,
             route_tries=call.tries,
@@ -454,7 +458,7 @@
                 "the guard refused an answer",
                 rule=violated_rule,
                 call=call.id,
-                reference=self.named(call),
+                reference=self.reference_of(call),
             )
             if not self.on_answer_refused(call):
                 return
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -498,7 +498,7 @@
             self.connections.close_if_done(call.caller)
         call.answered_try = call.pending_try = call.caller = None  # breaks reference cycles
 
-    def named(self, call: SipCall) -> str:
+    def reference_of(self, call: SipCall) -> str:
         return call.request.tag
 
     # Exchanges.
