--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -529,7 +529,7 @@
             )
             return
         route_try.context = outcome.context
-        self.stands(route_try, outcome.load)
+        self.on_answered(route_try, outcome.load)
 
     def handle_exchange_request(self, link: Link, transaction_id: int, actions: list[Action]) -> None:
         """Handles a request of an exchange: events, and from the own exchange also calls in transit."""
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -399,7 +399,7 @@
         if route_try.call.pending_try is route_try:
             route_try.call.pending_try = None
 
-    def stands(self, route_try: TryT, load: api.Load | None = None) -> None:
+    def on_answered(self, route_try: TryT, load: api.Load | None = None) -> None:
         """Handles an exchange's positive answer: the call is established, and its caller is answered."""
         now = self.kernel.now()
         call = route_try.call
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -570,7 +570,7 @@
                 link.remove_try(route_try, line.tag, b"")
                 route_try.call.description = line.blob
                 self.established_calls.setdefault(link.exchange, {})[line.tag] = route_try.call
-                self.stands(route_try, load)
+                self.on_answered(route_try, load)
                 return
         elif verb == "FINISH":
             if route_try is not None:
