--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -473,7 +473,7 @@
         for route_try in route_tries:
             if route_try.state == "out":
                 self.counts.add("resets")
-                self.try_over(route_try, "reset", tell=True, cut_off=True)
+                self.fail_try(route_try, "reset", tell=True, cut_off=True)
         if self.is_own(link.exchange):
             self.own_exchange.session = self.own_exchange.stream = None
             self.own_exchange.disconnected_at = self.kernel.now()
@@ -518,7 +518,7 @@
             return
         if outcome.code:
             result, cause = mapping.result_of(outcome)
-            self.try_over(
+            self.fail_try(
                 route_try,
                 result,
                 tell=False,
@@ -578,7 +578,7 @@
             if route_try is None:
                 return
             if route_try.state == "out":
-                self.try_over(route_try, "reset", tell=True, cut_off=True)
+                self.fail_try(route_try, "reset", tell=True, cut_off=True)
             elif route_try.state == "stands":
                 self.on_call_cut(route_try)
 
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -349,9 +349,9 @@
         """Ends a try that the exchange has not responded to in time."""
         if route_try.state == "out":
             self.counts.add("timeouts")
-            self.try_over(route_try, "timeout", tell=True, cut_off=True)
+            self.fail_try(route_try, "timeout", tell=True, cut_off=True)
 
-    def try_over(
+    def fail_try(
         self,
         route_try: TryT,
         result: str,
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -263,7 +263,7 @@
         self.remove_link(link)
         for route_try in list(link.tries.values()):
             waited = route_try.connection is None
-            self.try_over(route_try, "connect_failed" if waited else "reset", tell=False, cut_off=not waited)
+            self.fail_try(route_try, "connect_failed" if waited else "reset", tell=False, cut_off=not waited)
         self.end_calls_at(link.exchange)
 
     def retire_link(self, exchange: str) -> None:
@@ -510,7 +510,7 @@
         member = self.members.get(link.exchange)
         for tag, data in waiting.items():
             if member is None or member.state != READY:  # it began draining while they waited
-                self.try_over(link.tries[tag], "connect_failed", tell=False, cut_off=False)
+                self.fail_try(link.tries[tag], "connect_failed", tell=False, cut_off=False)
             else:
                 link.send_set_up(link.tries[tag], tag, data)
         for tag, data in self.undelivered_releases.pop(link.exchange, ()):
@@ -526,14 +526,14 @@
         for tag, data in unconfirmed:
             self.release_at_exchange(link, tag, data)
         for route_try in tries:
-            self.try_over(route_try, "reset", tell=False, cut_off=True)
+            self.fail_try(route_try, "reset", tell=False, cut_off=True)
         if link.retired and not link.is_up:
             self.end_calls_at(link.exchange)
 
     def fail_waiting_tries(self, link: Link) -> None:
         """Ends the tries whose set-up still waits for a connection."""
         for tag in list(link.waiting):
-            self.try_over(link.tries[tag], "connect_failed", tell=False, cut_off=False)
+            self.fail_try(link.tries[tag], "connect_failed", tell=False, cut_off=False)
 
     def on_link_refused(self, link: Link, gone: bool) -> None:
         """Handles a failed connection attempt.
@@ -565,7 +565,7 @@
                 self.counts.add("stray_answers")
             elif not line.blob:
                 self.counts.add("spoilt_answers")
-                self.try_over(route_try, "reset", tell=True, cut_off=True)
+                self.fail_try(route_try, "reset", tell=True, cut_off=True)
             else:
                 link.remove_try(route_try, line.tag, b"")
                 route_try.call.description = line.blob
@@ -578,7 +578,7 @@
                     raise lines.BadLine(f"FINISH {line.tag[:20]}: the cause is not an integer")
                 result = mapping.RESULTS.get(line.rc, "reset")
                 cause = mapping.CAUSES.get(str(line.opts.get("note", "")), "")
-                self.try_over(
+                self.fail_try(
                     route_try, result, tell=False, cut_off=result == "reset", cause=cause, load=load
                 )
                 return
