--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -288,7 +288,7 @@
         ):
             call.over_share = True
             arrived = replace(arrived, over_share=True)
-        self.take(call, arrived)
+        self.accept_call(call, arrived)
 
     def send_pending(self, call: Call) -> None:
         """Sends H.248's Pending, once for each call, where the final answer takes longer."""
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -210,7 +210,7 @@
 
     # Incoming calls.
 
-    def take(self, call: CallT, arrived: api.CallArrived) -> None:
+    def accept_call(self, call: CallT, arrived: api.CallArrived) -> None:
         """Accepts a call. From here on the agent guarantees exactly one final answer for it."""
         self.calls[call.id] = call
         if self.tracing:
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -379,7 +379,7 @@
             fields=message.fields,
         )
         self.calls_by_tag[request.tag] = caller.open_calls[request.tag] = call
-        self.take(
+        self.accept_call(
             call,
             api.CallArrived(
                 call.id,
