--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -245,9 +245,9 @@
             self.log(
                 "error", "controller left a call unanswered", call=call.id, reference=self.reference_of(call)
             )
-            self.give_up(call, own_fault=True)
+            self.fail_call(call, own_fault=True)
 
-    def give_up(self, call: CallT, own_fault: bool = False) -> None:
+    def fail_call(self, call: CallT, own_fault: bool = False) -> None:
         """Answers an open call as failed, cancels its pending try and notifies the controller."""
         self.cancel_pending_try(call, "timeout")
         self.post(api.CallerLeft(call.id))
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -171,7 +171,7 @@
         for call in [call for call in self.calls.values() if call.state == OPEN]:
             self.counts.add("given_up")
             self.log("info", "call given up", reference=call.request.tag, why=why)
-            self.give_up(call)
+            self.fail_call(call)
 
     def refusal_reason(self, request: SetUpRequest, now: int) -> str:
         """Returns why a new set-up is refused without routing it, '' if it is accepted."""
