--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -185,7 +185,7 @@
                 if requester.session is None and requester.calls and requester.disconnected_at < cutoff:
                     for call in list(requester.calls.values()):
                         self.counts.add("orphans_released")
-                        self.finish(call)
+                        self.release_call(call)
 
     def worded(self, call: Call, final: Final) -> Outcome:
         """The final answer as an H.248 outcome."""
@@ -322,7 +322,7 @@
             self.caller_left(call)
         else:
             self.counts.add(prefix + "released")
-            self.finish(call)
+            self.release_call(call)
 
     def caller_left(self, call: Call) -> None:
         """Ends an open call without sending a final answer.
@@ -461,7 +461,7 @@
         if self.is_own(link.exchange):
             for call in [call for call in self.own_exchange.calls.values() if call.arrived < started_at]:
                 self.counts.add("orphans_released")
-                self.finish(call)
+                self.release_call(call)
 
     def is_own(self, exchange: str) -> bool:
         """Whether this is the exchange that the agent runs beside."""
@@ -724,7 +724,7 @@
         if change.method == "Restart":
             for call in list(requester.calls.values()):  # a restarted gateway has lost its calls
                 self.counts.add("orphans_released")
-                self.finish(call)
+                self.release_call(call)
             requester.transactions.peer_restarted()
             requester.transactions.receive(self.kernel.now(), Request(transaction_id, []))
         requester.reply(
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -283,7 +283,7 @@
                 )
             )
 
-    def finish(self, call: CallT) -> None:
+    def release_call(self, call: CallT) -> None:
         """Releases an established call, or cancels an open one."""
         if call.state == OPEN:
             self.caller_left(call)
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -325,7 +325,7 @@
                     self.counts.add("released")
                     self.log("debug", "released by its caller", reference=message.call_id)
                     call.release_cause = sip.cause_of(message)
-                    self.finish(call)
+                    self.release_call(call)
             case "CANCEL":
                 call = self.calls_by_tag.get(message.call_id)
                 caller.stream.write(sip.answer(481 if call is None else 200, message.fields))
