--- a/benchmarks/agent_load.py
+++ b/benchmarks/agent_load.py
@@ -25,7 +25,7 @@
 
 from peattrestle.agent.agent import CallAgent
 from peattrestle.h248 import package
-from peattrestle.h248.package import Outcome, SetUpAsked
+from peattrestle.h248.package import Outcome, SetUpRequest
 from peattrestle.h248.session import Session
 from peattrestle.h248.transactions import Answered, New, Transactions
 from peattrestle.rehearsal.hosts import free_address
@@ -138,7 +138,9 @@
         while (elapsed := self.kernel.now() - started) < seconds * SECOND:
             while self.sent < elapsed * self.rate / SECOND:
                 self.sent += 1
-                request = SetUpAsked(f"c/{self.sent}", "line", 1, 3 * SECOND, f"n{self.sent}", reference="r")
+                request = SetUpRequest(
+                    f"c/{self.sent}", "line", 1, 3 * SECOND, f"n{self.sent}", reference="r"
+                )
                 attachment = (request.termination, self.kernel.now())
                 session.request(attachment, lambda n, request=request: package.add_text(n, request))  # type: ignore[misc]
             yield from self.kernel.sleep(2_000_000)
--- a/benchmarks/codec.py
+++ b/benchmarks/codec.py
@@ -14,7 +14,7 @@
 from lark import Lark
 
 from peattrestle.h248 import package, text
-from peattrestle.h248.package import Outcome, SetUpAsked
+from peattrestle.h248.package import Outcome, SetUpRequest
 
 GRAMMAR = r"""
 start: "MEGACO/1" WORD item+
@@ -26,7 +26,7 @@
 %import common.WS
 %ignore WS
 """
-SET_UP = SetUpAsked(
+SET_UP = SetUpRequest(
     "t/a3/193f/1017/0", "reel-render", 57, 3_600_000_000, "dn.k2", transit=True, reference="g3/44", origin=3
 )
 OUTCOME = Outcome(0, "9001", load={"free": 12, "size": 30, "queue": 3, "rate": 120.5})
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -33,7 +33,7 @@
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.h248 import package
-from peattrestle.h248.package import BadValue, Outcome, SetUpAsked
+from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
 from peattrestle.h248.session import BadPeer, Garbled, Session, SessionEvent
 from peattrestle.h248.text import Action, Command, Reply, Request
 from peattrestle.h248.transactions import Answered, New, Stray, TooManyOpenRequests, Transactions
@@ -369,7 +369,7 @@
         row = self.entries[action.exchange]
         sent = link.set_up(
             route_try,
-            SetUpAsked(
+            SetUpRequest(
                 route_try.termination,
                 request.bearer_type,
                 request.destination,
--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from peattrestle.calls import core
-from peattrestle.h248.package import SetUpAsked
+from peattrestle.h248.package import SetUpRequest
 from peattrestle.runtime import Timer
 from peattrestle.storms.retry_detection import CallerAttempt
 
@@ -38,7 +38,7 @@
 
     asker: Requester
     transaction: int
-    asked: SetUpAsked
+    asked: SetUpRequest
     pending_timer: Timer | None = None
     over_share: bool = False  # not admitted: its gateway is over its share
     seen: CallerAttempt | None = None  # first try or retry; None in transit
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -209,7 +209,7 @@
 
     # Set-ups and releases.
 
-    def set_up(self, route_try: RouteTry, request: package.SetUpAsked) -> bool:
+    def set_up(self, route_try: RouteTry, request: package.SetUpRequest) -> bool:
         """Sends a set-up. False where the link is down or has too many open requests: nothing was sent."""
         if self.session is None or not self.up:
             self.connect_requested.set()
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -14,7 +14,7 @@
 SECOND = 1_000_000_000  # nanoseconds
 
 
-def request_call(address: str, request: package.SetUpAsked, hold: int) -> dict[str, Any]:
+def request_call(address: str, request: package.SetUpRequest, hold: int) -> dict[str, Any]:
     """Requests a call from the agent at `address`, and releases an established one after `hold` nanoseconds.
 
     Returns the fields of the result; `answer` is 'stands' (established), 'refused', 'failed', 'error',
--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -246,7 +246,7 @@
 ) -> None:
     """Requests one call to EXCHANGE from the agent at ADDRESS, and prints the answer."""
     from peattrestle.cli.caller import request_call
-    from peattrestle.h248.package import SetUpAsked
+    from peattrestle.h248.package import SetUpRequest
     from peattrestle.runtime.epoll import split
 
     try:
@@ -254,7 +254,7 @@
         patience_ns, hold_ns = schema.parse_duration(patience), schema.parse_duration(hold)
     except ValueError as error:
         fail(INVALID_INPUT, error)
-    request = SetUpAsked(
+    request = SetUpRequest(
         f"cli/{os.getpid()}", bearer, destination, patience_ns, number, reference=f"cli/{os.getpid()}"
     )
     answer = request_call(address, request, hold_ns)
--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class SetUpAsked:
+class SetUpRequest:
     """A request to set up a call, the parameters of an Add.
 
     `patience`: nanoseconds until the requester gives up. `reference`: the caller's reference of the call, the
@@ -56,7 +56,7 @@
     origin: int = -1
 
 
-def add_text(transaction_id: int, request: SetUpAsked) -> str:
+def add_text(transaction_id: int, request: SetUpRequest) -> str:
     """A request with one Add into a new context. Raises ValueError where a text value can't be written."""
     parameters = [
         f"ptc/brt={quoted(request.bearer_type)},ptc/dst={request.destination},ptc/abn={request.patience}"
@@ -95,7 +95,7 @@
     return int(text)
 
 
-def read_add(command: Command) -> SetUpAsked:
+def read_add(command: Command) -> SetUpRequest:
     """Reads the parameters of an Add; those of other packages are ignored. Raises BadValue."""
     control = command.find("Media", "LocalControl")
     values: dict[str, str | None] = {}
@@ -113,7 +113,7 @@
     for name in ("ptc/brt", "ptc/dst", "ptc/abn"):
         if not values.get(name):
             raise BadValue(f"{name} is missing")
-    return SetUpAsked(
+    return SetUpRequest(
         command.termination,
         values["ptc/brt"] or "",
         _parse_int("ptc/dst", values["ptc/dst"], 0, 1 << 31),
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from peattrestle.h248 import package
-from peattrestle.h248.package import SetUpAsked
+from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import BadPeer, Session
 from peattrestle.h248.transactions import Answered, New, Stray, Transactions
 from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
@@ -359,7 +359,7 @@
         self.attempt_count += 1
         call.tries += 1
         termination = f"c/{self.attempt_count}"
-        request = SetUpAsked(
+        request = SetUpRequest(
             termination,
             call.bearer_type,
             call.destination,
@@ -391,7 +391,7 @@
         is_late = self.kernel.now() - call.first_at > self.bearer(call).gos_target
         return 0.0 if is_late else 2.0
 
-    def resend(self, attempt: Attempt, request: SetUpAsked) -> None:
+    def resend(self, attempt: Attempt, request: SetUpRequest) -> None:
         """Sends the same request again, as on a lossy network; the reply may come twice, unchanged."""
         if self.session is not None and attempt.state in ("asked", "stands"):
             self.record.add(self.kernel.now(), "repeated", self.name, self.agent, attempt.termination)
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -12,7 +12,7 @@
 from functools import partial
 
 from peattrestle.h248 import package
-from peattrestle.h248.package import BadValue, Outcome, SetUpAsked
+from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
 from peattrestle.h248.session import BadPeer, Session
 from peattrestle.h248.text import Action, Command, Malformed, Request
 from peattrestle.h248.transactions import Answered, New, Stray, Transactions
@@ -31,7 +31,7 @@
 
     agent: str
     transaction_id: int
-    request: SetUpAsked
+    request: SetUpRequest
     context: int
     state: str = "working"
     has_circuits: bool = False
@@ -551,7 +551,7 @@
         request = call.request
         self.onward_count += 1
         call.state, call.onward_termination = "onward", f"n/{self.name}/{self.onward_count}"
-        onward_request = SetUpAsked(
+        onward_request = SetUpRequest(
             call.onward_termination,
             request.bearer_type,
             request.destination,
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -10,7 +10,7 @@
 
 from peattrestle.agent.agent import CallAgent
 from peattrestle.h248 import package
-from peattrestle.h248.package import SetUpAsked
+from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import Session, SessionEvent
 from peattrestle.h248.transactions import Answered, StillPending, Transactions
 from peattrestle.rehearsal.script import Bearer, Fleet, Script
@@ -53,7 +53,7 @@
             self.events += session.feed(self.kernel.now(), data)
 
     def call(self, session: Session, number: int) -> None:
-        request = SetUpAsked(f"c/{number}", "line", 1, 3 * SECOND, reference=f"g0/{number}")
+        request = SetUpRequest(f"c/{number}", "line", 1, 3 * SECOND, reference=f"g0/{number}")
         session.request(number, lambda transaction_id: package.add_text(transaction_id, request))
 
     def run(self, body: Coroutine[Any]) -> Any:
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from peattrestle.h248 import package, text
-from peattrestle.h248.package import BadValue, Outcome, SetUpAsked
+from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
 from peattrestle.h248.session import BadPeer, Garbled, Session
 from peattrestle.h248.tpkt import BadFrame, Framer, frame
 from peattrestle.h248.transactions import (
@@ -152,7 +152,7 @@
     assert answers[0] == answers[1] and len(answers[0]) == 1
 
 
-REQUEST_PARAMETERS = SetUpAsked(
+REQUEST_PARAMETERS = SetUpRequest(
     "c/1", "reel-render", 57, 3_600_000_000, "dn.k 2", 2, 9, True, True, True, "team", "g1/1", 3
 )
 
