--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -194,7 +194,7 @@
         if final.kind != REFUSED:
             return INTERNAL_ERROR if final.own_fault else Outcome(package.FAILED, text="failed")
         cause = ""
-        if call.asker is self.own_exchange:
+        if call.requester is self.own_exchange:
             # In transit the previous exchange is told what was full: this tandem, or a hop beyond it.
             cause = "beyond_full" if call.cause == "processor_full" else "turned_back"
         return Outcome(package.REFUSED, text="refused", come_back=final.retry_after, cause=cause)
@@ -255,7 +255,7 @@
             self.next_id(),
             now,
             now + request.patience,
-            asker=requester,
+            requester=requester,
             transaction=transaction_id,
             asked=request,
         )
@@ -292,8 +292,8 @@
 
     def send_pending(self, call: Call) -> None:
         """Sends H.248's Pending, once for each call, where the final answer takes longer."""
-        if call.state == OPEN and call.asker.session is not None:
-            call.asker.session.send(f"Pending={call.transaction}{{}}")
+        if call.state == OPEN and call.requester.session is not None:
+            call.requester.session.send(f"Pending={call.transaction}{{}}")
 
     def handle_subtract(
         self, requester: Requester, transaction_id: int, action: Action, command: Command
@@ -330,7 +330,7 @@
         The transaction is closed as failed, which a repeated request is answered with.
         """
         super().caller_left(call)
-        call.asker.transactions.answer(
+        call.requester.transactions.answer(
             call.transaction,
             package.outcome_text(
                 call.transaction, call.asked.termination, Outcome(package.FAILED, text="the caller left")
@@ -341,7 +341,7 @@
         """Forgets the call's Pending timer and its termination."""
         if call.pending_timer is not None:
             call.pending_timer.cancel()
-        call.asker.calls.pop(call.asked.termination, None)
+        call.requester.calls.pop(call.asked.termination, None)
 
     def reference_of(self, call: Call) -> str:
         """The caller's reference of the call, for the log."""
@@ -401,12 +401,12 @@
         """Counts the final answer and sends it to the requester."""
         if call.pending_timer is not None:
             call.pending_timer.cancel()
-        self.counts.add(("transit_" if call.asker is self.own_exchange else "") + final.kind)
-        if call.asker is not self.own_exchange and final.kind == ANSWERED:
+        self.counts.add(("transit_" if call.requester is self.own_exchange else "") + final.kind)
+        if call.requester is not self.own_exchange and final.kind == ANSWERED:
             self.storms.door.count_answered(self.kernel.now())
-        elif call.asker is not self.own_exchange and not call.over_share:
+        elif call.requester is not self.own_exchange and not call.over_share:
             self.storms.door.count_refused(self.kernel.now())
-        call.asker.reply(
+        call.requester.reply(
             call.transaction,
             package.outcome_text(call.transaction, call.asked.termination, self.worded(call, final)),
         )
@@ -416,9 +416,9 @@
 
         False where it had been answered already.
         """
-        if not call.asker.transactions.is_unanswered(call.transaction):
+        if not call.requester.transactions.is_unanswered(call.transaction):
             return False
-        call.asker.transactions.answer(
+        call.requester.transactions.answer(
             call.transaction, package.outcome_text(call.transaction, call.asked.termination, INTERNAL_ERROR)
         )
         return True
@@ -587,11 +587,11 @@
         call = route_try.call
         self.counts.add("cut")
         if call.seen is not None:
-            self.storms.watch.record_cut(self.kernel.now(), call.asker.name)
+            self.storms.watch.record_cut(self.kernel.now(), call.requester.name)
         self.end_try(route_try, tell=False)
         self.forget(call)
         self.post(api.TryEnded(call.id, route_try.exchange, "reset", 0, route_try.number, True))
-        call.asker.notify(
+        call.requester.notify(
             lambda transaction_id: package.notify_text(
                 transaction_id, str(call.id), call.asked.termination, ["ptc/cut"]
             )
--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -31,12 +31,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class Call(core.Call[RouteTry]):
-    """A call requested by `asker`; the reply to `transaction` is the call's one final answer.
+    """A call requested by `requester`; the reply to `transaction` is the call's one final answer.
 
     `pending_timer` sends H.248's Pending where the answer takes longer.
     """
 
-    asker: Requester
+    requester: Requester
     transaction: int
     asked: SetUpRequest
     pending_timer: Timer | None = None
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -126,9 +126,9 @@
         self.door.remove_gateway(requester.name)
         self.notices.gone(requester.name)
 
-    def restart_after(self, asker: Requester) -> int:
+    def restart_after(self, requester: Requester) -> int:
         """0: the gateway may restart now; else nanoseconds after which it is to retry its ServiceChange."""
-        wait = self.restart_limiter.wait_for(self.kernel.now(), asker.name)
+        wait = self.restart_limiter.wait_for(self.kernel.now(), requester.name)
         if wait:
             self.count("restarts_held_back")
         return wait
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -69,10 +69,10 @@
         if self.fault == "twice" and call.id % 5 == 0:
             if self.guarded:
                 super().answer(call, final)
-            elif call.asker.session is not None:
+            elif call.requester.session is not None:
                 outcome = self.worded(call, final)
                 text = package.outcome_text(call.transaction, call.asked.termination, outcome)
-                call.asker.session.send(text)
+                call.requester.session.send(text)
 
     def set_up(self, action: api.SetUp) -> None:
         super().set_up(action)
