--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -257,7 +257,7 @@
             now + request.patience,
             requester=requester,
             transaction=transaction_id,
-            asked=request,
+            request=request,
         )
         if not transit:
             retry_key = (requester.name, request.bearer_type, request.destination, request.number)
@@ -333,7 +333,7 @@
         call.requester.transactions.answer(
             call.transaction,
             package.outcome_text(
-                call.transaction, call.asked.termination, Outcome(package.FAILED, text="the caller left")
+                call.transaction, call.request.termination, Outcome(package.FAILED, text="the caller left")
             ),
         )
 
@@ -341,17 +341,17 @@
         """Forgets the call's Pending timer and its termination."""
         if call.pending_timer is not None:
             call.pending_timer.cancel()
-        call.requester.calls.pop(call.asked.termination, None)
+        call.requester.calls.pop(call.request.termination, None)
 
     def reference_of(self, call: Call) -> str:
         """The caller's reference of the call, for the log."""
-        return call.asked.reference
+        return call.request.reference
 
     # Route tries.
 
     def send_set_up(self, call: Call, action: api.SetUp, number: int) -> RouteTry | Unsent:
         """Sends the set-up of route try `number` to an exchange, or returns why it can't be sent."""
-        request, link = call.asked, self.links.get(action.exchange)
+        request, link = call.request, self.links.get(action.exchange)
         own_link = self.links.get(self.numbers.get(self.settings.number, ""))
         if own_link is not None and not own_link.up:
             # Every call starts at the agent's own exchange, so without it nothing can be set up.
@@ -408,7 +408,7 @@
             self.storms.door.count_refused(self.kernel.now())
         call.requester.reply(
             call.transaction,
-            package.outcome_text(call.transaction, call.asked.termination, self.worded(call, final)),
+            package.outcome_text(call.transaction, call.request.termination, self.worded(call, final)),
         )
 
     def on_answer_refused(self, call: Call) -> bool:
@@ -419,7 +419,7 @@
         if not call.requester.transactions.is_unanswered(call.transaction):
             return False
         call.requester.transactions.answer(
-            call.transaction, package.outcome_text(call.transaction, call.asked.termination, INTERNAL_ERROR)
+            call.transaction, package.outcome_text(call.transaction, call.request.termination, INTERNAL_ERROR)
         )
         return True
 
@@ -593,7 +593,7 @@
         self.post(api.TryEnded(call.id, route_try.exchange, "reset", 0, route_try.number, True))
         call.requester.notify(
             lambda transaction_id: package.notify_text(
-                transaction_id, str(call.id), call.asked.termination, ["ptc/cut"]
+                transaction_id, str(call.id), call.request.termination, ["ptc/cut"]
             )
         )
 
--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -38,7 +38,7 @@
 
     requester: Requester
     transaction: int
-    asked: SetUpRequest
+    request: SetUpRequest
     pending_timer: Timer | None = None
     over_share: bool = False  # not admitted: its gateway is over its share
     seen: CallerAttempt | None = None  # first try or retry; None in transit
