--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -34,7 +34,7 @@
 from peattrestle.control import Controller
 from peattrestle.h248 import package
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
-from peattrestle.h248.session import BadPeer, Garbled, Session, SessionEvent
+from peattrestle.h248.session import BadPeer, MalformedMessage, Session, SessionEvent
 from peattrestle.h248.text import Action, Command, Reply, Request
 from peattrestle.h248.transactions import Answered, New, Stray, TooManyOpenRequests, Transactions
 from peattrestle.membership.roll import Told
@@ -506,7 +506,7 @@
                     exchange=link.exchange,
                     transaction=transaction_id,
                 )
-            case Garbled(error):
+            case MalformedMessage(error):
                 self.counts.add("garbled")
                 self.log("warning", "malformed message", exchange=link.exchange, fault=str(error))
             case _:
@@ -626,10 +626,10 @@
         try:
             while data := (yield from stream.read()):
                 for event in session.feed(self.kernel.now(), data):
-                    assert requester is not None or isinstance(event, Garbled)
+                    assert requester is not None or isinstance(event, MalformedMessage)
                     if isinstance(event, New) and requester is not None:
                         self.handle_gateway_request(requester, event.request.id, event.request.actions)
-                    elif isinstance(event, Garbled):
+                    elif isinstance(event, MalformedMessage):
                         self.counts.add("garbled")
                         self.log("warning", "malformed message", gateway=stream.peer, fault=str(event.fault))
                 if stream.unsent > limits.unread:
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from peattrestle.h248 import package
-from peattrestle.h248.session import BadPeer, Garbled, Session
+from peattrestle.h248.session import BadPeer, MalformedMessage, Session
 from peattrestle.h248.transactions import Answered, Transactions
 from peattrestle.runtime import Coroutine, Lost, Refused, TimedOut
 from peattrestle.runtime.epoll import EpollKernel
@@ -34,7 +34,7 @@
         session.request("add", lambda number: package.add_text(number, request))
         while data := (yield from stream.read()):
             for message in session.feed(kernel.now(), data):
-                if isinstance(message, Garbled):
+                if isinstance(message, MalformedMessage):
                     answer["text"] = str(message.fault)
                 elif isinstance(message, Answered) and message.kept == "add":
                     outcome = package.read_outcome(message.reply)
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -22,13 +22,13 @@
 
 
 @dataclass(slots=True)
-class Garbled:
+class MalformedMessage:
     """A message that could not be parsed; the error has been sent to the peer."""
 
     fault: text.Malformed
 
 
-SessionEvent = New | Answered | StillPending | Stray | Garbled
+SessionEvent = New | Answered | StillPending | Stray | MalformedMessage
 
 
 class Session:
@@ -67,7 +67,7 @@
                 parsed = text.parse(message, self.max_message_bytes)
             except text.Malformed as error:
                 self._answer_malformed(error)
-                events.append(Garbled(error))
+                events.append(MalformedMessage(error))
                 continue
             self.malformed_in_a_row = 0
             if parsed.mid != self.peer:
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -6,7 +6,7 @@
 
 from peattrestle.h248 import package, text
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
-from peattrestle.h248.session import BadPeer, Garbled, Session
+from peattrestle.h248.session import BadPeer, MalformedMessage, Session
 from peattrestle.h248.tpkt import BadFrame, Framer, frame
 from peattrestle.h248.transactions import (
     LONG_TIMER,
@@ -120,7 +120,7 @@
 def test_a_malformed_message_is_answered_and_the_next_one_is_read(body: str, answer: str) -> None:
     session, sent = make_session()
     events = session.feed(0, message(body) + message("Transaction=10{Context=-{AuditValue=ROOT}}"))
-    assert isinstance(events[0], Garbled) and isinstance(events[1], New)
+    assert isinstance(events[0], MalformedMessage) and isinstance(events[1], New)
     assert (
         answer.split("{")[0] in sent[0].decode() and answer.split('"')[-1].split(",")[0] in sent[0].decode()
     )
