--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -36,7 +36,7 @@
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
 from peattrestle.h248.session import BadPeer, MalformedMessage, Session, SessionEvent
 from peattrestle.h248.text import Action, Command, Reply, Request
-from peattrestle.h248.transactions import Answered, New, Stray, TooManyOpenRequests, Transactions
+from peattrestle.h248.transactions import Answered, New, TooManyOpenRequests, Transactions, UnknownTransaction
 from peattrestle.membership.roll import Told
 from peattrestle.runtime import Coroutine, Event, Kernel, Listener, Lost, Refused, Stream
 from peattrestle.settings.agent import Agent as Settings
@@ -498,7 +498,7 @@
                 self.on_hello_reply(link, reply)
             case New(request):
                 self.handle_exchange_request(link, request.id, request.actions)
-            case Stray(transaction_id):
+            case UnknownTransaction(transaction_id):
                 self.counts.add("stray_replies")
                 self.log(
                     "debug",
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -12,7 +12,14 @@
 from typing import Any
 
 from peattrestle.h248 import text, tpkt
-from peattrestle.h248.transactions import Answered, Duplicate, New, StillPending, Stray, Transactions
+from peattrestle.h248.transactions import (
+    Answered,
+    Duplicate,
+    New,
+    StillPending,
+    Transactions,
+    UnknownTransaction,
+)
 
 MAX_MALFORMED_IN_A_ROW = 20
 
@@ -28,7 +35,7 @@
     fault: text.Malformed
 
 
-SessionEvent = New | Answered | StillPending | Stray | MalformedMessage
+SessionEvent = New | Answered | StillPending | UnknownTransaction | MalformedMessage
 
 
 class Session:
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -68,13 +68,13 @@
 
 
 @dataclass(slots=True)
-class Stray:
+class UnknownTransaction:
     """A Reply or Pending for a transaction that is not open: late, repeated, or wrong."""
 
     id: int
 
 
-ReceiveResult = New | Duplicate | Answered | StillPending | Stray | None
+ReceiveResult = New | Duplicate | Answered | StillPending | UnknownTransaction | None
 
 
 class Transactions:
@@ -112,7 +112,7 @@
         return transaction_id
 
     def give_up(self, transaction_id: int) -> None:
-        """Closes an open request; a later reply to it is a `Stray`."""
+        """Closes an open request; a later reply to it is a `UnknownTransaction`."""
         self.open.pop(transaction_id, None)
 
     def lost(self) -> list[Any]:
@@ -140,13 +140,13 @@
         """What a received part means; None where nothing is to be done."""
         if isinstance(part, Reply):
             if part.id not in self.open:
-                return Stray(part.id)
+                return UnknownTransaction(part.id)
             self._acks.append(part.id)
             return Answered(self.open.pop(part.id), part)
         if isinstance(part, Request):
             return self._receive_request(now, part)
         if isinstance(part, Pending):
-            return StillPending(self.open[part.id]) if part.id in self.open else Stray(part.id)
+            return StillPending(self.open[part.id]) if part.id in self.open else UnknownTransaction(part.id)
         for low, high in part.ranges:
             if high - low < len(self.served):
                 transaction_ids = [
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -8,7 +8,7 @@
 from peattrestle.h248 import package
 from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import BadPeer, Session
-from peattrestle.h248.transactions import Answered, New, Stray, Transactions
+from peattrestle.h248.transactions import Answered, New, Transactions, UnknownTransaction
 from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
 from peattrestle.standin.record import Record
 
@@ -218,7 +218,7 @@
                         self.handle_reply(event)
                     elif isinstance(event, New):
                         self.handle_request(event)
-                    elif isinstance(event, Stray) and event.id in self.terminations:
+                    elif isinstance(event, UnknownTransaction) and event.id in self.terminations:
                         self.record.add(
                             self.kernel.now(),
                             "answered",
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -15,7 +15,7 @@
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
 from peattrestle.h248.session import BadPeer, Session
 from peattrestle.h248.text import Action, Command, Malformed, Request
-from peattrestle.h248.transactions import Answered, New, Stray, Transactions
+from peattrestle.h248.transactions import Answered, New, Transactions, UnknownTransaction
 from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
 from peattrestle.standin.fabric import Fabric, Group, SocketFaults
 from peattrestle.standin.processor import Processor
@@ -109,7 +109,7 @@
                 exchange.handle_onward_reply(event.kept, package.read_outcome(event.reply))
             elif isinstance(event, Answered) and isinstance(event.kept, str) and self.peer is not None:
                 exchange.handle_release_reply(self.peer, event.kept, package.refusal(event.reply))
-            elif isinstance(event, Stray) and self.peer is not None:
+            elif isinstance(event, UnknownTransaction) and self.peer is not None:
                 exchange.handle_stray_reply(self.peer, event.id)
 
     def is_reachable(self) -> bool:
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -14,9 +14,9 @@
     Duplicate,
     New,
     StillPending,
-    Stray,
     TooManyOpenRequests,
     Transactions,
+    UnknownTransaction,
 )
 
 REQUEST = text.Request(5, [text.Action("-", [text.Command("AuditValue", "ROOT")])])
@@ -74,12 +74,12 @@
     assert ids == [(1 << 32) - 2, (1 << 32) - 1, 1]  # 0 is no id
     reply = text.Reply(ids[2])
     assert peer.receive(0, reply) == Answered("c", reply)
-    assert peer.receive(0, reply) == Stray(1)  # a second time
+    assert peer.receive(0, reply) == UnknownTransaction(1)  # a second time
     assert peer.receive(0, text.Pending(ids[0])) == StillPending("a")
     peer.give_up(ids[0])
-    assert peer.receive(0, text.Reply(ids[0])) == Stray(ids[0])
+    assert peer.receive(0, text.Reply(ids[0])) == UnknownTransaction(ids[0])
     assert peer.lost() == ["b"]
-    assert peer.receive(0, text.Reply(ids[1])) == Stray(ids[1])
+    assert peer.receive(0, text.Reply(ids[1])) == UnknownTransaction(ids[1])
 
 
 def test_limits_of_transactions() -> None:
