--- a/benchmarks/agent_load.py
+++ b/benchmarks/agent_load.py
@@ -27,7 +27,7 @@
 from peattrestle.h248 import package
 from peattrestle.h248.package import Outcome, SetUpRequest
 from peattrestle.h248.session import Session
-from peattrestle.h248.transactions import Answered, New, Transactions
+from peattrestle.h248.transactions import Answered, NewRequest, Transactions
 from peattrestle.rehearsal.hosts import free_address
 from peattrestle.runtime import Coroutine, Stream
 from peattrestle.runtime.epoll import EpollKernel
@@ -107,10 +107,10 @@
         while data := (yield from stream.read()):
             self.bytes += len(data)
             for event in session.feed(self.kernel.now(), data):
-                if isinstance(event, New):
+                if isinstance(event, NewRequest):
                     self.answer(session, event)
 
-    def answer(self, session: Session, event: New) -> None:
+    def answer(self, session: Session, event: NewRequest) -> None:
         """Replies to an Add with a new context and to any other command with success."""
         number, action = event.request.id, event.request.actions[0]
         command = action.commands[0]
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -36,7 +36,13 @@
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
 from peattrestle.h248.session import BadPeer, MalformedMessage, Session, SessionEvent
 from peattrestle.h248.text import Action, Command, Reply, Request
-from peattrestle.h248.transactions import Answered, New, TooManyOpenRequests, Transactions, UnknownTransaction
+from peattrestle.h248.transactions import (
+    Answered,
+    NewRequest,
+    TooManyOpenRequests,
+    Transactions,
+    UnknownTransaction,
+)
 from peattrestle.membership.roll import Told
 from peattrestle.runtime import Coroutine, Event, Kernel, Listener, Lost, Refused, Stream
 from peattrestle.settings.agent import Agent as Settings
@@ -496,7 +502,7 @@
                         self.post(api.LoadReported(link.exchange, "served", 0, load))
             case Answered("hello", reply):
                 self.on_hello_reply(link, reply)
-            case New(request):
+            case NewRequest(request):
                 self.handle_exchange_request(link, request.id, request.actions)
             case UnknownTransaction(transaction_id):
                 self.counts.add("stray_replies")
@@ -627,7 +633,7 @@
             while data := (yield from stream.read()):
                 for event in session.feed(self.kernel.now(), data):
                     assert requester is not None or isinstance(event, MalformedMessage)
-                    if isinstance(event, New) and requester is not None:
+                    if isinstance(event, NewRequest) and requester is not None:
                         self.handle_gateway_request(requester, event.request.id, event.request.actions)
                     elif isinstance(event, MalformedMessage):
                         self.counts.add("garbled")
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -15,7 +15,7 @@
 from peattrestle.h248.transactions import (
     Answered,
     Duplicate,
-    New,
+    NewRequest,
     StillPending,
     Transactions,
     UnknownTransaction,
@@ -35,7 +35,7 @@
     fault: text.Malformed
 
 
-SessionEvent = New | Answered | StillPending | UnknownTransaction | MalformedMessage
+SessionEvent = NewRequest | Answered | StillPending | UnknownTransaction | MalformedMessage
 
 
 class Session:
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class New:
+class NewRequest:
     """A new request: carry it out, then call `answer`."""
 
     request: Request
@@ -74,7 +74,7 @@
     id: int
 
 
-ReceiveResult = New | Duplicate | Answered | StillPending | UnknownTransaction | None
+ReceiveResult = NewRequest | Duplicate | Answered | StillPending | UnknownTransaction | None
 
 
 class Transactions:
@@ -169,7 +169,7 @@
                 self.served.popitem(last=False)
                 self.evicted_early += 1
             self.served[request.id] = ServedRequest(now)
-            return New(request)
+            return NewRequest(request)
         if served.reply is None:
             return Duplicate(f"Pending={request.id}{{}}")
         return Duplicate(served.reply) if served.reply else None
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -8,7 +8,7 @@
 from peattrestle.h248 import package
 from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import BadPeer, Session
-from peattrestle.h248.transactions import Answered, New, Transactions, UnknownTransaction
+from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
 from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
 from peattrestle.standin.record import Record
 
@@ -216,7 +216,7 @@
                 for event in session.feed(self.kernel.now(), data):
                     if isinstance(event, Answered):
                         self.handle_reply(event)
-                    elif isinstance(event, New):
+                    elif isinstance(event, NewRequest):
                         self.handle_request(event)
                     elif isinstance(event, UnknownTransaction) and event.id in self.terminations:
                         self.record.add(
@@ -477,7 +477,7 @@
         attempt.state = "over"
         self.attempts.pop(attempt.termination, None)
 
-    def handle_request(self, event: New) -> None:
+    def handle_request(self, event: NewRequest) -> None:
         """Handles a request from the agent: a rate notice, or that a call was cut."""
         first_command = package.first_command(event.request.actions)
         assert first_command is not None and self.session is not None
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -15,7 +15,7 @@
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
 from peattrestle.h248.session import BadPeer, Session
 from peattrestle.h248.text import Action, Command, Malformed, Request
-from peattrestle.h248.transactions import Answered, New, Transactions, UnknownTransaction
+from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
 from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
 from peattrestle.standin.fabric import Fabric, Group, SocketFaults
 from peattrestle.standin.processor import Processor
@@ -103,7 +103,7 @@
         exchange = self.exchange
         exchange.received_at, exchange.time_uncertain = received_at, received_at < self.uncertain_until
         for event in self.session.feed(exchange.kernel.now(), data):
-            if isinstance(event, New) and self.peer is not None:
+            if isinstance(event, NewRequest) and self.peer is not None:
                 exchange.handle_request(self, self.peer, event.request)
             elif isinstance(event, Answered) and isinstance(event.kept, ExchangeCall):
                 exchange.handle_onward_reply(event.kept, package.read_outcome(event.reply))
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -12,7 +12,7 @@
     LONG_TIMER,
     Answered,
     Duplicate,
-    New,
+    NewRequest,
     StillPending,
     TooManyOpenRequests,
     Transactions,
@@ -49,7 +49,7 @@
 
 def test_a_repeated_request_is_carried_out_once() -> None:
     peer = Transactions()
-    assert peer.receive(0, REQUEST) == New(REQUEST)
+    assert peer.receive(0, REQUEST) == NewRequest(REQUEST)
     assert peer.receive(1, REQUEST) == Duplicate("Pending=5{}")  # still being carried out
     peer.answer(5, "Reply=5{...}")
     assert peer.receive(2, REQUEST) == Duplicate("Reply=5{...}")
@@ -58,7 +58,7 @@
         peer.answer(5, "another")
     peer.receive(3, text.Ack([(1, 9)]))
     assert peer.receive(4, REQUEST) is None  # acknowledged: nothing to send, nothing to do
-    assert peer.receive(2 * LONG_TIMER, REQUEST) == New(REQUEST)  # kept for the long timer, no longer
+    assert peer.receive(2 * LONG_TIMER, REQUEST) == NewRequest(REQUEST)  # kept for the long timer, no longer
 
 
 def test_a_request_still_being_carried_out_is_not_forgotten() -> None:
@@ -120,7 +120,7 @@
 def test_a_malformed_message_is_answered_and_the_next_one_is_read(body: str, answer: str) -> None:
     session, sent = make_session()
     events = session.feed(0, message(body) + message("Transaction=10{Context=-{AuditValue=ROOT}}"))
-    assert isinstance(events[0], MalformedMessage) and isinstance(events[1], New)
+    assert isinstance(events[0], MalformedMessage) and isinstance(events[1], NewRequest)
     assert (
         answer.split("{")[0] in sent[0].decode() and answer.split('"')[-1].split(",")[0] in sent[0].decode()
     )
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -10,7 +10,7 @@
 from peattrestle.h248 import package, text
 from peattrestle.h248.package import BadValue, Notice
 from peattrestle.h248.session import Session
-from peattrestle.h248.transactions import Answered, New
+from peattrestle.h248.transactions import Answered, NewRequest
 from peattrestle.runtime import Coroutine
 from peattrestle.settings.agent import Limits
 from tests.agent.test_bounds import Town
@@ -72,7 +72,7 @@
     def receive(session: Any, stream: Any) -> Coroutine[None]:
         while data := (yield from stream.read()):
             for message in session.feed(town.kernel.now(), data):
-                if isinstance(message, New):
+                if isinstance(message, NewRequest):
                     command = package.first_command(message.request.actions)
                     assert command is not None
                     notice = package.read_rate(command[1])
