--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -236,7 +236,7 @@
                     "$",
                     "Add",
                     command.termination,
-                    (package.TWICE, "the termination is in a context"),
+                    (package.ALREADY_IN_CONTEXT, "the termination is in a context"),
                 ),
             )
             return
--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -18,7 +18,11 @@
 PROFILE = "peattrestle/1"
 # Error codes of H.248.8 that the call path uses.
 REFUSED, FAILED = 510, 530  # insufficient resources; temporary network failure
-UNKNOWN_TERMINATION, UNKNOWN_CONTEXT, TWICE = 430, 411, 433  # TWICE: the termination is already in a context
+UNKNOWN_TERMINATION, UNKNOWN_CONTEXT, ALREADY_IN_CONTEXT = (
+    430,
+    411,
+    433,
+)  # ALREADY_IN_CONTEXT: the termination is already in a context
 BAD_VALUE = 449  # unsupported or unknown parameter value
 # Causes of a refusal, the values of `ptc/cau`.
 CAUSES = frozenset({"no_circuit", "turned_back", "beyond_full", "processor_full", "lines_busy"})
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -383,7 +383,7 @@
                     "$",
                     "Add",
                     command.termination,
-                    (package.TWICE, "the termination is in a context"),
+                    (package.ALREADY_IN_CONTEXT, "the termination is in a context"),
                 ),
             )
             return
