--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -27,7 +27,7 @@
 # Causes of a refusal, the values of `ptc/cau`.
 CAUSES = frozenset({"no_circuit", "turned_back", "beyond_full", "processor_full", "lines_busy"})
 # Statistic -> key of the load report: free circuits and circuits of the group, processor queue and rate.
-LOAD = {"ptg/fre": "free", "ptg/siz": "size", "ptp/que": "queue", "ptp/rat": "rate"}
+LOAD_STATISTICS = {"ptg/fre": "free", "ptg/siz": "size", "ptp/que": "queue", "ptp/rat": "rate"}
 MAX_DURATION = 1 << 62  # nanoseconds
 
 
@@ -140,7 +140,7 @@
 
     `come_back`: nanoseconds after which the caller is advised to retry, 0 for no advice. `wait`:
     nanoseconds that a full processor asks to wait. `cause`: one of `CAUSES`, or empty. `load`: the load
-    report, with the keys of `LOAD`.
+    report, with the keys of `LOAD_STATISTICS`.
     """
 
     code: int
@@ -160,7 +160,7 @@
         statistics.append(f"ptc/cbk={outcome.come_back}")
     if outcome.wait:
         statistics.append(f"ptc/wai={outcome.wait}")
-    for name, field in LOAD.items():
+    for name, field in LOAD_STATISTICS.items():
         if outcome.load and field in outcome.load:
             statistics.append(f"{name}={outcome.load[field]:.10g}")
     return f"Statistics{{{','.join(statistics)}}}" if statistics else ""
@@ -180,7 +180,7 @@
     """The load report among the items of Statistics; invalid numbers are ignored."""
     load = {}
     for item in items:
-        field = LOAD.get(item.name)
+        field = LOAD_STATISTICS.get(item.name)
         if field is not None and item.value is not None:
             try:
                 value = float(item.value)
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -492,7 +492,7 @@
             self.end_call(peer, call, after_work=True)
         statistics = ",".join(
             f"{name}={self.load(peer.number)[key]:.10g}"
-            for name, key in package.LOAD.items()
+            for name, key in package.LOAD_STATISTICS.items()
             if key in self.load(peer.number)
         )
         self.reply(
