--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -493,7 +493,7 @@
             case Answered(RouteTry() as route_try, reply):
                 self.on_add_reply(route_try, package.read_outcome(reply))
             case Answered(Release() as release, reply):
-                link.on_release_reply(release, package.refusal(reply))
+                link.on_release_reply(release, package.reply_error_code(reply))
                 found = package.first_command(reply.actions)
                 if found is not None:
                     statistics = found[1].find("Statistics")
--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -347,7 +347,7 @@
     return ServiceChange(method, values.get("reason", ""), values)
 
 
-def refusal(reply: Reply) -> int:
+def reply_error_code(reply: Reply) -> int:
     """The error code of the reply to a request with one command; 0 for success."""
     if reply.error is not None:
         return reply.error[0]
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -108,7 +108,7 @@
             elif isinstance(event, Answered) and isinstance(event.kept, ExchangeCall):
                 exchange.handle_onward_reply(event.kept, package.read_outcome(event.reply))
             elif isinstance(event, Answered) and isinstance(event.kept, str) and self.peer is not None:
-                exchange.handle_release_reply(self.peer, event.kept, package.refusal(event.reply))
+                exchange.handle_release_reply(self.peer, event.kept, package.reply_error_code(event.reply))
             elif isinstance(event, UnknownTransaction) and self.peer is not None:
                 exchange.handle_stray_reply(self.peer, event.id)
 
