--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -193,7 +193,7 @@
                         self.counts.add("orphans_released")
                         self.release_call(call)
 
-    def worded(self, call: Call, final: Final) -> Outcome:
+    def to_outcome(self, call: Call, final: Final) -> Outcome:
         """The final answer as an H.248 outcome."""
         if final.kind == ANSWERED:
             return Outcome(0, str(call.id))
@@ -414,7 +414,7 @@
             self.storms.door.count_refused(self.kernel.now())
         call.requester.reply(
             call.transaction,
-            package.outcome_text(call.transaction, call.request.termination, self.worded(call, final)),
+            package.outcome_text(call.transaction, call.request.termination, self.to_outcome(call, final)),
         )
 
     def on_answer_refused(self, call: Call) -> bool:
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -70,7 +70,7 @@
             if self.guarded:
                 super().answer(call, final)
             elif call.requester.session is not None:
-                outcome = self.worded(call, final)
+                outcome = self.to_outcome(call, final)
                 text = package.outcome_text(call.transaction, call.request.termination, outcome)
                 call.requester.session.send(text)
 
