--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -203,7 +203,7 @@
         if call.requester is self.own_exchange:
             # In transit the previous exchange is told what was full: this tandem, or a hop beyond it.
             cause = "beyond_full" if call.cause == "processor_full" else "turned_back"
-        return Outcome(package.REFUSED, text="refused", come_back=final.retry_after, cause=cause)
+        return Outcome(package.REFUSED, text="refused", retry_after=final.retry_after, cause=cause)
 
     # Incoming calls.
 
@@ -252,7 +252,7 @@
                     Outcome(
                         package.REFUSED,
                         text="shutting down" if self.draining else "as many calls as can be held",
-                        come_back=self.settings.rules.come_back_limit,
+                        retry_after=self.settings.rules.come_back_limit,
                     ),
                 ),
             )
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -42,7 +42,7 @@
                     answer.update(
                         answer=answer_texts.get(outcome.code, "error"),
                         text=outcome.text,
-                        come_back_ms=outcome.come_back // 1_000_000,
+                        come_back_ms=outcome.retry_after // 1_000_000,
                         ms=round((kernel.now() - started) / 1e6, 1),
                     )
                     if outcome.code == 0:
--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -138,7 +138,7 @@
 class Outcome:
     """The reply to an Add. `code` 0: the call stands, in `context`; else REFUSED (510), FAILED or an error.
 
-    `come_back`: nanoseconds after which the caller is advised to retry, 0 for no advice. `wait`:
+    `retry_after`: nanoseconds after which the caller is advised to retry, 0 for no advice. `wait`:
     nanoseconds that a full processor asks to wait. `cause`: one of `CAUSES`, or empty. `load`: the load
     report, with the keys of `LOAD_STATISTICS`.
     """
@@ -147,7 +147,7 @@
     context: str = "-"
     text: str = ""
     cause: str = ""
-    come_back: int = 0
+    retry_after: int = 0
     wait: int = 0
     load: Mapping[str, float] | None = None
 
@@ -156,8 +156,8 @@
     statistics = []
     if outcome.cause:
         statistics.append(f"ptc/cau={outcome.cause}")
-    if outcome.come_back:
-        statistics.append(f"ptc/cbk={outcome.come_back}")
+    if outcome.retry_after:
+        statistics.append(f"ptc/cbk={outcome.retry_after}")
     if outcome.wait:
         statistics.append(f"ptc/wai={outcome.wait}")
     for name, field in LOAD_STATISTICS.items():
@@ -217,7 +217,7 @@
                 ):
                     value = min(int(statistic.value or 0), MAX_DURATION)
                     if statistic.name == "ptc/cbk":
-                        outcome.come_back = value
+                        outcome.retry_after = value
                     else:
                         outcome.wait = value
     if outcome.code == 0 and not context.isdigit():
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -425,7 +425,7 @@
                     self.on_established(pending)
                 else:
                     self.finish(pending)
-                    self.redial(pending.call, outcome.come_back)
+                    self.redial(pending.call, outcome.retry_after)
         elif isinstance(pending, str) and pending in self.attempts:
             attempt = self.attempts[pending]
             self.record.add(now, "confirmed", self.name, self.agent, pending)
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -69,7 +69,7 @@
         for event in self.events:
             if isinstance(event, Answered) and isinstance(event.kept, int):
                 outcome = package.read_outcome(event.reply)
-                outcomes[event.kept] = (outcome.code, outcome.come_back)
+                outcomes[event.kept] = (outcome.code, outcome.retry_after)
         return outcomes
 
 
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -200,10 +200,10 @@
     part = text.parse(b"MEGACO/1 x " + package.outcome_text(3, "c/1", outcome).encode()).parts[0]
     assert isinstance(part, text.Reply)
     read = package.read_outcome(part)
-    assert (read.code, read.cause, read.come_back, read.wait) == (
+    assert (read.code, read.cause, read.retry_after, read.wait) == (
         outcome.code,
         outcome.cause,
-        outcome.come_back,
+        outcome.retry_after,
         outcome.wait,
     )
     assert (read.load or {}) == (outcome.load or {})
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -83,7 +83,7 @@
                     )
                 elif isinstance(message, Answered) and isinstance(message.kept, int):
                     outcome = package.read_outcome(message.reply)
-                    codes.append((outcome.code, outcome.come_back))
+                    codes.append((outcome.code, outcome.retry_after))
 
     handle, limited_calls = town.agent.controller.handle, list[int]()
 
