--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -197,7 +197,9 @@
     def on_disconnected(self, reason: str) -> None:
         """Queues unconfirmed releases for the next connection, and reports the open route tries as lost."""
         self.session = self.stream = None
-        route_tries = [sent_for for sent_for in self.transactions.lost() if isinstance(sent_for, RouteTry)]
+        route_tries = [
+            sent_for for sent_for in self.transactions.close_all() if isinstance(sent_for, RouteTry)
+        ]
         for release in self.releases.values():
             if release.timer is not None:
                 release.timer.cancel()
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -115,7 +115,7 @@
         """Closes an open request; a later reply to it is a `UnknownTransaction`."""
         self.open.pop(transaction_id, None)
 
-    def lost(self) -> list[Any]:
+    def close_all(self) -> list[Any]:
         """Closes all open requests after a lost connection; returns their attachments, oldest first."""
         attachments, self.open = list(self.open.values()), {}
         return attachments
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -253,7 +253,7 @@
         self.session = self.stream = None
         self.ready = False
         self.bucket = LeakyBucket()  # notices apply to one connection only
-        self.transactions.lost()
+        self.transactions.close_all()
         for attempt in [attempt for attempt in self.attempts.values() if attempt.state == "ending"]:
             self.pending_releases.append(attempt.termination)
             self.finish(attempt)
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -194,7 +194,7 @@
             return
         peer.connection = None
         exchange.fabric.record.add(exchange.kernel.now(), "lost", exchange.name, peer.name, text=reason)
-        for pending in peer.transactions.lost():
+        for pending in peer.transactions.close_all():
             if isinstance(pending, ExchangeCall):
                 exchange.handle_onward_lost(peer, pending)
             elif isinstance(pending, str):
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -78,7 +78,7 @@
     assert peer.receive(0, text.Pending(ids[0])) == StillPending("a")
     peer.give_up(ids[0])
     assert peer.receive(0, text.Reply(ids[0])) == UnknownTransaction(ids[0])
-    assert peer.lost() == ["b"]
+    assert peer.close_all() == ["b"]
     assert peer.receive(0, text.Reply(ids[1])) == UnknownTransaction(ids[1])
 
 
