--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -398,7 +398,7 @@
     def release_try(self, route_try: RouteTry, tell: bool) -> None:
         """Forgets a route try; `tell`: the exchange is sent a Subtract, as it may hold a circuit for it."""
         if route_try.state == "out":
-            route_try.link.transactions.give_up(route_try.transaction)
+            route_try.link.transactions.close(route_try.transaction)
         self.terminations.pop(route_try.termination, None)
         if tell:
             route_try.link.release(route_try.context, route_try.termination, route_try.call.id)
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -133,7 +133,7 @@
         try:
             self.send(build(transaction_id))
         except ValueError:
-            self.transactions.give_up(transaction_id)
+            self.transactions.close(transaction_id)
             raise
         return transaction_id
 
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -111,7 +111,7 @@
         self.open[transaction_id] = attachment
         return transaction_id
 
-    def give_up(self, transaction_id: int) -> None:
+    def close(self, transaction_id: int) -> None:
         """Closes an open request; a later reply to it is a `UnknownTransaction`."""
         self.open.pop(transaction_id, None)
 
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -626,7 +626,7 @@
         self.fabric.record.add(self.kernel.now(), "confirmed", self.name, peer.name, termination)
         for transaction_id, request in list(peer.transactions.open.items()):
             if isinstance(request, ExchangeCall) and request.onward_termination == termination:
-                peer.transactions.give_up(transaction_id)
+                peer.transactions.close(transaction_id)
 
     def handle_onward_lost(self, peer: AgentPeer, call: ExchangeCall) -> None:
         """Handles a transit set-up whose connection was lost before its answer."""
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -76,7 +76,7 @@
     assert peer.receive(0, reply) == Answered("c", reply)
     assert peer.receive(0, reply) == UnknownTransaction(1)  # a second time
     assert peer.receive(0, text.Pending(ids[0])) == StillPending("a")
-    peer.give_up(ids[0])
+    peer.close(ids[0])
     assert peer.receive(0, text.Reply(ids[0])) == UnknownTransaction(ids[0])
     assert peer.close_all() == ["b"]
     assert peer.receive(0, text.Reply(ids[1])) == UnknownTransaction(ids[1])
