--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -409,9 +409,9 @@
             call.pending_timer.cancel()
         self.counts.add(("transit_" if call.requester is self.own_exchange else "") + final.kind)
         if call.requester is not self.own_exchange and final.kind == ANSWERED:
-            self.storms.door.count_answered(self.kernel.now())
+            self.storms.admission.count_answered(self.kernel.now())
         elif call.requester is not self.own_exchange and not call.over_share:
-            self.storms.door.count_refused(self.kernel.now())
+            self.storms.admission.count_refused(self.kernel.now())
         call.requester.reply(
             call.transaction,
             package.outcome_text(call.transaction, call.request.termination, self.to_outcome(call, final)),
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -45,7 +45,7 @@
     ) -> None:
         self.kernel, self.limits, self.log, self.count = kernel, limits, log, count
         self.gateways = gateways
-        self.watch, self.door = StormDetector(), GatewayAdmission()
+        self.watch, self.admission = StormDetector(), GatewayAdmission()
         # Sequence numbers start from the clock: notices of a new run must count as newer than the last one's.
         self.notices = Notices(kernel.now() // MS)
         self.restart_limiter = restarts.RestartPacer(
@@ -61,17 +61,19 @@
             now = self.kernel.now()
             for storm in self.watch.update(now):
                 self.log_storm(storm)
-            was_limiting = self.door.is_limiting
-            self.door.update(now)
-            if self.door.is_limiting != was_limiting:
+            was_limiting = self.admission.is_limiting
+            self.admission.update(now)
+            if self.admission.is_limiting != was_limiting:
                 self.log(
-                    "warning" if self.door.is_limiting else "info",
-                    "gateways limited to their shares" if self.door.is_limiting else "gateway limits lifted",
-                    carried=round(self.door.answered.rate(now), 1),
+                    "warning" if self.admission.is_limiting else "info",
+                    "gateways limited to their shares"
+                    if self.admission.is_limiting
+                    else "gateway limits lifted",
+                    carried=round(self.admission.answered.rate(now), 1),
                     offered=round(self.watch.offered(now), 1),
-                    turned_away=self.door.turned_away,
+                    turned_away=self.admission.turned_away,
                 )
-            self.send_notices(self.notices.due_notices(now, self.door.limits_to_announce()))
+            self.send_notices(self.notices.due_notices(now, self.admission.limits_to_announce()))
 
     def log_storm(self, storm: Storm) -> None:
         """Logs the start or the end of a storm; a start is counted as well."""
@@ -105,7 +107,7 @@
 
         `revenue`: the call's expected revenue; within a share, calls of higher revenue are admitted first.
         """
-        if self.door.admits(self.kernel.now(), gateway, revenue, self.rng.random()):
+        if self.admission.admits(self.kernel.now(), gateway, revenue, self.rng.random()):
             return True
         self.count("held_to_share")
         return False
@@ -123,7 +125,7 @@
 
     def on_gateway_disconnected(self, requester: Requester) -> None:
         """Frees the gateway's share and forgets its rate notice."""
-        self.door.remove_gateway(requester.name)
+        self.admission.remove_gateway(requester.name)
         self.notices.gone(requester.name)
 
     def restart_after(self, requester: Requester) -> int:
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -116,7 +116,7 @@
 
 def test_notices_go_on_where_a_gateway_does_not_reply_to_them() -> None:
     town = Town(Limits(open_requests=1))
-    town.agent.storms.door.limits_to_announce = lambda: {"<g0>": town.kernel.now() / SECOND}  # type: ignore[method-assign]
+    town.agent.storms.admission.limits_to_announce = lambda: {"<g0>": town.kernel.now() / SECOND}  # type: ignore[method-assign]
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -126,7 +126,7 @@
     """Gateways that offer calls at set rates; `capacity` of the admitted calls per second are answered."""
 
     def __init__(self, capacity: float) -> None:
-        self.door, self.capacity, self.draw = GatewayAdmission(), capacity, random.Random(3)
+        self.admission, self.capacity, self.draw = GatewayAdmission(), capacity, random.Random(3)
         self.now = 0
         self.tokens = 0.0
 
@@ -147,15 +147,15 @@
                 for revenue, rate in pairs:
                     if self.draw.random() >= rate * 0.01:
                         continue
-                    is_admitted = self.door.admits(self.now, name, revenue, self.draw.random())
+                    is_admitted = self.admission.admits(self.now, name, revenue, self.draw.random())
                     if self.now > half:
                         offered[name, revenue] = offered.get((name, revenue), 0) + 1
                         admitted[name, revenue] = admitted.get((name, revenue), 0) + is_admitted
                     if is_admitted and self.tokens >= 1:
                         self.tokens -= 1
-                        self.door.count_answered(self.now)
+                        self.admission.count_answered(self.now)
                     elif is_admitted:
-                        self.door.count_refused(self.now)
+                        self.admission.count_refused(self.now)
         return {key: admitted.get(key, 0) / count for key, count in offered.items()}
 
 
@@ -163,9 +163,9 @@
     simulation = Simulation(capacity=40)
     shares = simulation.run(20, {"a": [(1.0, 30)], "b": [(1.0, 5)]})
     assert (
-        not simulation.door.is_limiting
+        not simulation.admission.is_limiting
         and set(shares.values()) == {1.0}
-        and simulation.door.limits_to_announce() == {}
+        and simulation.admission.limits_to_announce() == {}
     )
 
 
@@ -174,7 +174,7 @@
     simulation.run(20, {"a": [(1.0, 6)], "b": [(1.0, 6)], "c": [(1.0, 6)]})
     shares = simulation.run(20, {"a": [(1.0, 6)], "b": [(1.0, 6)], "c": [(1.0, 90)]})
     assert shares["a", 1.0] > 0.95 and shares["b", 1.0] > 0.95 and shares["c", 1.0] < 0.4
-    rate_limits = simulation.door.limits_to_announce()
+    rate_limits = simulation.admission.limits_to_announce()
     assert rate_limits["c"] < 40 and rate_limits["a"] >= 6
 
 
@@ -183,7 +183,7 @@
     usual_rates = {name: [(1.0, 8.0)] for name in "abc"}
     simulation.run(10, usual_rates)
     shares = simulation.run(20, {name: [(1.0, 30.0)] for name in "abc"})
-    assert simulation.door.is_limiting and min(shares.values()) > 0.95
+    assert simulation.admission.is_limiting and min(shares.values()) > 0.95
 
 
 def test_calls_of_higher_revenue_go_first_where_the_total_is_limited() -> None:
@@ -203,18 +203,18 @@
 def test_limits_end_after_the_overload() -> None:
     simulation = Simulation(capacity=20)
     simulation.run(10, {"a": [(1.0, 60)], "b": [(1.0, 5)]})
-    assert simulation.door.is_limiting
+    assert simulation.admission.is_limiting
     simulation.run(10, {"a": [(1.0, 8)], "b": [(1.0, 5)]})
-    assert not simulation.door.is_limiting and simulation.door.limits_to_announce() == {}
+    assert not simulation.admission.is_limiting and simulation.admission.limits_to_announce() == {}
 
 
 def test_limits_end_where_nobody_calls_any_more() -> None:
     simulation = Simulation(capacity=20)
     simulation.run(10, {"a": [(1.0, 60)], "b": [(1.0, 5)]})
-    assert simulation.door.is_limiting
+    assert simulation.admission.is_limiting
     for step in range(60):
-        simulation.door.update(simulation.now + step * 250 * MS)
-    assert not simulation.door.is_limiting
+        simulation.admission.update(simulation.now + step * 250 * MS)
+    assert not simulation.admission.is_limiting
 
 
 def test_first_calls_are_not_limited_where_refusals_have_another_cause_than_load() -> None:
@@ -223,24 +223,24 @@
     simulation.run(20, {"a": [(1.0, 10)], "b": [(1.0, 10)]})
     simulation.capacity = simulation.tokens = 0.0
     shares = simulation.run(15, {"a": [(1.0, 10)], "b": [(1.0, 10)]})
-    assert simulation.door.is_limiting and min(shares.values()) > 0.95
+    assert simulation.admission.is_limiting and min(shares.values()) > 0.95
 
 
 def test_a_disconnected_gateway_takes_no_share() -> None:
     simulation = Simulation(capacity=10)
     simulation.run(10, {"a": [(1.0, 30)], "b": [(1.0, 30)]})
-    simulation.door.remove_gateway("b")
+    simulation.admission.remove_gateway("b")
     simulation.run(0.5, {"a": [(1.0, 30)]})
-    assert set(simulation.door.limits_to_announce()) == {"a"}
+    assert set(simulation.admission.limits_to_announce()) == {"a"}
 
 
 def test_the_number_of_remembered_usual_rates_is_bounded() -> None:
-    door = GatewayAdmission()
+    admission = GatewayAdmission()
     for number in range(12_000):
-        door.admits(number * 250 * MS, f"g{number}", 1.0, 0.5)
-        door.update((number + 1) * 250 * MS)
-        door.remove_gateway(f"g{number}")
-    assert 0 < len(door.usual_rates) <= door.MAX_USUAL_RATES
+        admission.admits(number * 250 * MS, f"g{number}", 1.0, 0.5)
+        admission.update((number + 1) * 250 * MS)
+        admission.remove_gateway(f"g{number}")
+    assert 0 < len(admission.usual_rates) <= admission.MAX_USUAL_RATES
 
 
 def test_restarts_are_admitted_at_the_rate_and_a_slot_is_kept() -> None:
