--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -98,7 +98,7 @@
         self.terminations: dict[str, RouteTry] = {}
         self.links: dict[str, Link] = {}
         self.entries: dict[str, listing.Row] = {}
-        self.numbers: dict[int, str] = {}
+        self.exchange_by_number: dict[int, str] = {}
         self.groups: dict[int, package.GroupStatus] = {}
         self.connection_count = 0
         self.tracing = settings.log_level == "debug"
@@ -358,7 +358,7 @@
     def send_set_up(self, call: Call, action: api.SetUp, number: int) -> RouteTry | Unsent:
         """Sends the set-up of route try `number` to an exchange, or returns why it can't be sent."""
         request, link = call.request, self.links.get(action.exchange)
-        own_link = self.links.get(self.numbers.get(self.settings.number, ""))
+        own_link = self.links.get(self.exchange_by_number.get(self.settings.number, ""))
         if own_link is not None and not own_link.up:
             # Every call starts at the agent's own exchange, so without it nothing can be set up.
             return Unsent("moot", "processor_full")
@@ -471,7 +471,7 @@
 
     def is_own(self, exchange: str) -> bool:
         """Whether this is the exchange that the agent runs beside."""
-        return self.numbers.get(self.settings.number) == exchange
+        return self.exchange_by_number.get(self.settings.number) == exchange
 
     def on_link_lost(self, link: Link, route_tries: list[RouteTry], reason: str) -> None:
         """Ends the lost link's unanswered route tries; for the own exchange also its open transit calls."""
@@ -605,7 +605,7 @@
 
     def report_group(self, group: package.GroupStatus) -> None:
         """Reports a trunk group's circuits to the controller and updates the guard's capacity estimate."""
-        exchange = self.numbers.get(group.to)
+        exchange = self.exchange_by_number.get(group.to)
         if exchange is not None and group.to != self.settings.number:
             self.post(api.LoadReported(exchange, "served", 0, {"free": group.free, "size": group.size}))
             circuits = sum(other_group.size for other_group in self.groups.values())
@@ -832,8 +832,8 @@
             started = now - row.age if row.age >= 0 else 0
             entries.append(api.Entry(row.exchange, row.number, row.state, started, row.zone))
             self.entries[row.exchange] = row
-            if row.state == "ready" or row.number not in self.numbers:
-                self.numbers[row.number] = row.exchange
+            if row.state == "ready" or row.number not in self.exchange_by_number:
+                self.exchange_by_number[row.number] = row.exchange
             self.guard.on_exchange_state(now, row.exchange, row.state, started)
         self.post(api.ListUpdated(form, tuple(entries)))
         for name, row in list(self.entries.items()):
@@ -841,7 +841,7 @@
             if row.state == "gone":
                 # The link stays until another exchange has the number and no call stands over it (see
                 # `drop_link`); each update of the list checks again.
-                if link is not None and self.numbers.get(row.number) != name:
+                if link is not None and self.exchange_by_number.get(row.number) != name:
                     self.drop_link(name, link)
             elif row.address and link is None:
                 self.links[name] = Link(
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -78,7 +78,7 @@
         super().set_up(action)
         if self.fault == "two tries" and action.call % 5 == 0:
             others = [name for name, link in self.links.items() if link.up and name != action.exchange]
-            other = next(name for name in others if name != self.numbers[self.settings.number])
+            other = next(name for name in others if name != self.exchange_by_number[self.settings.number])
             super().set_up(api.SetUp(action.call, other, action.patience))
 
 
