--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -26,7 +26,7 @@
 )
 
 
-class Town:
+class AgentHarness:
     """Two exchanges, an agent beside the first, and gateways that the test drives by hand."""
 
     def __init__(self, limits: Limits, log_level: str = "info") -> None:
@@ -74,7 +74,7 @@
 
 
 def test_calls_beyond_the_limit_are_refused_at_once_with_retry_advice() -> None:
-    town = Town(Limits(calls=2))
+    town = AgentHarness(Limits(calls=2))
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
@@ -92,7 +92,7 @@
 
 
 def test_a_connection_beyond_the_limit_is_closed_and_the_first_stays_open() -> None:
-    town = Town(Limits(connections=1))
+    town = AgentHarness(Limits(connections=1))
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
@@ -109,7 +109,7 @@
 
 
 def test_a_gateway_that_never_reads_is_disconnected_and_delays_no_other() -> None:
-    town = Town(Limits(unread=4096))
+    town = AgentHarness(Limits(unread=4096))
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
@@ -137,7 +137,7 @@
     "garbage", [b"GET / HTTP/1.1\r\n\r\n", b"\x03\x00\x00\x00", b"\x03\x00\xff\xff" + b"x" * 99]
 )
 def test_garbage_on_one_connection_does_not_affect_other_gateways(garbage: bytes) -> None:
-    town = Town(Limits())
+    town = AgentHarness(Limits())
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
@@ -154,7 +154,7 @@
 
 
 def test_a_slow_call_gets_one_pending_and_then_its_answer() -> None:
-    town = Town(Limits(pending_after=200 * MS))
+    town = AgentHarness(Limits(pending_after=200 * MS))
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
@@ -171,7 +171,7 @@
 
 
 def test_debug_lines_carry_call_route_try_and_exchange() -> None:
-    town = Town(Limits(), "debug")
+    town = AgentHarness(Limits(), "debug")
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
@@ -191,7 +191,7 @@
 @pytest.mark.parametrize("state", ["asked", "out", "stands", "releasing"])
 def test_a_connection_reset_in_each_state_of_a_call(side: str, state: str) -> None:
     """At most one final answer, none to a gateway that has gone, and no circuit or call left at the end."""
-    town = Town(Limits())
+    town = AgentHarness(Limits())
     exchange = town.world.fabric.exchanges[1]
 
     def reset(stream: Stream) -> None:
@@ -238,7 +238,7 @@
 
 
 def test_a_call_cancelled_in_the_batch_that_requests_it_is_no_module_fault() -> None:
-    town = Town(Limits())
+    town = AgentHarness(Limits())
 
     def body() -> Coroutine[None]:
         yield from town.kernel.sleep(SECOND)
@@ -261,7 +261,7 @@
 
 def test_an_unanswered_hello_is_repeated_until_the_restart_is_known() -> None:
     """Guards against a lost hello reply: the agent misses the restart and keeps transit calls for ever."""
-    town = Town(Limits())
+    town = AgentHarness(Limits())
     exchange = town.world.fabric.exchanges[0]  # the agent's own
     cold_until: list[int] = []
 
--- a/tests/agent/test_shutdown.py
+++ b/tests/agent/test_shutdown.py
@@ -6,13 +6,13 @@
 
 from peattrestle.runtime import Coroutine, Refused
 from peattrestle.settings.agent import Limits
-from tests.agent.test_bounds import SECOND, Town
+from tests.agent.test_bounds import SECOND, AgentHarness
 
 REFUSED = 510
 
 
 def test_calls_open_at_a_shutdown_are_answered_and_later_ones_refused_at_once() -> None:
-    town = Town(Limits())
+    town = AgentHarness(Limits())
     ended: list[int] = []
 
     def body() -> Coroutine[None]:
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -13,7 +13,7 @@
 from peattrestle.h248.transactions import Answered, NewRequest
 from peattrestle.runtime import Coroutine
 from peattrestle.settings.agent import Limits
-from tests.agent.test_bounds import Town
+from tests.agent.test_bounds import AgentHarness
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -27,7 +27,7 @@
 
 
 def test_simultaneous_restarts_get_a_waiting_delay_and_are_accepted_after_it() -> None:
-    town = Town(Limits(restarts=10))
+    town = AgentHarness(Limits(restarts=10))
     accepted_at: list[int] = []
 
     def restart_again(session: Session) -> None:
@@ -65,7 +65,7 @@
 
 
 def test_a_gateway_that_floods_gets_a_rate_limit_that_is_lifted_later() -> None:
-    town = Town(Limits())
+    town = AgentHarness(Limits())
     notices: list[Notice] = []
     codes: list[tuple[int, int]] = []
 
@@ -115,7 +115,7 @@
 
 
 def test_notices_go_on_where_a_gateway_does_not_reply_to_them() -> None:
-    town = Town(Limits(open_requests=1))
+    town = AgentHarness(Limits(open_requests=1))
     town.agent.storms.admission.limits_to_announce = lambda: {"<g0>": town.kernel.now() / SECOND}  # type: ignore[method-assign]
 
     def body() -> Coroutine[None]:
