--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -74,114 +74,114 @@
 
 
 def test_calls_beyond_the_limit_are_refused_at_once_with_retry_advice() -> None:
-    town = AgentHarness(Limits(calls=2))
+    harness = AgentHarness(Limits(calls=2))
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(town.listen(session, stream), "listen")
+        yield from harness.kernel.sleep(SECOND)
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(harness.listen(session, stream), "listen")
         for number in range(4):
-            town.call(session, number)
-        yield from town.kernel.sleep(10 * MS)
-        assert town.answers() == {2: (510, 2 * SECOND), 3: (510, 2 * SECOND)}
-        yield from town.kernel.sleep(2 * SECOND)
+            harness.call(session, number)
+        yield from harness.kernel.sleep(10 * MS)
+        assert harness.answers() == {2: (510, 2 * SECOND), 3: (510, 2 * SECOND)}
+        yield from harness.kernel.sleep(2 * SECOND)
 
-    town.run(body())
-    assert [town.answers()[number][0] for number in (0, 1)] == [0, 0]
-    assert town.agent.counts.values["refused_at_bound"] == 2
+    harness.run(body())
+    assert [harness.answers()[number][0] for number in (0, 1)] == [0, 0]
+    assert harness.agent.counts.values["refused_at_bound"] == 2
 
 
 def test_a_connection_beyond_the_limit_is_closed_and_the_first_stays_open() -> None:
-    town = AgentHarness(Limits(connections=1))
+    harness = AgentHarness(Limits(connections=1))
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(town.listen(session, stream), "listen")
-        _, second = yield from town.gateway("g1")
+        yield from harness.kernel.sleep(SECOND)
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(harness.listen(session, stream), "listen")
+        _, second = yield from harness.gateway("g1")
         with contextlib.suppress(Lost):  # sending to the closed port may end in a reset
             assert (yield from second.read()) == b""
-        town.call(session, 1)
-        yield from town.kernel.sleep(2 * SECOND)
+        harness.call(session, 1)
+        yield from harness.kernel.sleep(2 * SECOND)
 
-    town.run(body())
-    assert town.answers()[1][0] == 0
+    harness.run(body())
+    assert harness.answers()[1][0] == 0
 
 
 def test_a_gateway_that_never_reads_is_disconnected_and_delays_no_other() -> None:
-    town = AgentHarness(Limits(unread=4096))
+    harness = AgentHarness(Limits(unread=4096))
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        stalled, stalled_stream = yield from town.gateway("stalled")
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(town.listen(session, stream), "listen")
+        yield from harness.kernel.sleep(SECOND)
+        stalled, stalled_stream = yield from harness.gateway("stalled")
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(harness.listen(session, stream), "listen")
         for number in range(2000):
             stalled.request(
                 None, lambda number: f"Transaction={number}{{Context=-{{AuditValue=ROOT{{Audit{{}}}}}}}}"
             )
             if number % 50 == 0:
-                yield from town.kernel.sleep(5 * MS)
-        town.call(session, 1)
-        yield from town.kernel.sleep(2 * SECOND)
+                yield from harness.kernel.sleep(5 * MS)
+        harness.call(session, 1)
+        yield from harness.kernel.sleep(2 * SECOND)
         with pytest.raises(Lost):
             while (yield from stalled_stream.read()):
                 pass
 
-    town.run(body())
-    assert town.answers()[1][0] == 0
-    assert any(text == "gateway gone" and "unread" in fields["why"] for _, text, fields in town.logs)
+    harness.run(body())
+    assert harness.answers()[1][0] == 0
+    assert any(text == "gateway gone" and "unread" in fields["why"] for _, text, fields in harness.logs)
 
 
 @pytest.mark.parametrize(
     "garbage", [b"GET / HTTP/1.1\r\n\r\n", b"\x03\x00\x00\x00", b"\x03\x00\xff\xff" + b"x" * 99]
 )
 def test_garbage_on_one_connection_does_not_affect_other_gateways(garbage: bytes) -> None:
-    town = AgentHarness(Limits())
+    harness = AgentHarness(Limits())
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(town.listen(session, stream), "listen")
-        stranger = yield from town.kernel.connect("127.0.0.1:2944", SECOND)
+        yield from harness.kernel.sleep(SECOND)
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(harness.listen(session, stream), "listen")
+        stranger = yield from harness.kernel.connect("127.0.0.1:2944", SECOND)
         stranger.write(garbage)
-        town.call(session, 1)
-        yield from town.kernel.sleep(2 * SECOND)
+        harness.call(session, 1)
+        yield from harness.kernel.sleep(2 * SECOND)
 
-    town.run(body())
-    assert town.answers()[1][0] == 0
-    assert town.agent.counts.values["bad_peers"] == 1
+    harness.run(body())
+    assert harness.answers()[1][0] == 0
+    assert harness.agent.counts.values["bad_peers"] == 1
 
 
 def test_a_slow_call_gets_one_pending_and_then_its_answer() -> None:
-    town = AgentHarness(Limits(pending_after=200 * MS))
+    harness = AgentHarness(Limits(pending_after=200 * MS))
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        town.world.fabric.exchanges[1].processor.silent = True
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(town.listen(session, stream), "listen")
-        town.call(session, 1)
-        yield from town.kernel.sleep(3 * SECOND)
-
-    town.run(body())
-    kinds = [type(event).__name__ for event in town.events if getattr(event, "kept", None) == 1]
+        yield from harness.kernel.sleep(SECOND)
+        harness.world.fabric.exchanges[1].processor.silent = True
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(harness.listen(session, stream), "listen")
+        harness.call(session, 1)
+        yield from harness.kernel.sleep(3 * SECOND)
+
+    harness.run(body())
+    kinds = [type(event).__name__ for event in harness.events if getattr(event, "kept", None) == 1]
     assert kinds == [StillPending.__name__, Answered.__name__]
-    assert town.answers()[1][0] == 510  # the try timed out; a set-up that is safe to repeat is refused
+    assert harness.answers()[1][0] == 510  # the try timed out; a set-up that is safe to repeat is refused
 
 
 def test_debug_lines_carry_call_route_try_and_exchange() -> None:
-    town = AgentHarness(Limits(), "debug")
+    harness = AgentHarness(Limits(), "debug")
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(town.listen(session, stream), "listen")
-        town.call(session, 1)
-        yield from town.kernel.sleep(2 * SECOND)
-
-    town.run(body())
-    lines = [(text, fields) for level, text, fields in town.logs if level == "debug"]
+        yield from harness.kernel.sleep(SECOND)
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(harness.listen(session, stream), "listen")
+        harness.call(session, 1)
+        yield from harness.kernel.sleep(2 * SECOND)
+
+    harness.run(body())
+    lines = [(text, fields) for level, text, fields in harness.logs if level == "debug"]
     assert [text for text, _ in lines][:4] == ["call taken", "set-up", "stands", "final answer"]
     assert lines[1][1]["exchange"] == "x1" and lines[1][1]["route_try"] == 0
     assert {fields["reference"] for _, fields in lines[:4]} == {"g0/1"}
@@ -191,8 +191,8 @@
 @pytest.mark.parametrize("state", ["asked", "out", "stands", "releasing"])
 def test_a_connection_reset_in_each_state_of_a_call(side: str, state: str) -> None:
     """At most one final answer, none to a gateway that has gone, and no circuit or call left at the end."""
-    town = AgentHarness(Limits())
-    exchange = town.world.fabric.exchanges[1]
+    harness = AgentHarness(Limits())
+    exchange = harness.world.fabric.exchanges[1]
 
     def reset(stream: Stream) -> None:
         if side == "gateway":
@@ -202,78 +202,78 @@
                 connection.stream.abort()
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(town.listen(session, stream), "listen", watch=False)
-        yield from town.kernel.sleep(20 * MS)
-        town.call(session, 1)
+        yield from harness.kernel.sleep(SECOND)
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(harness.listen(session, stream), "listen", watch=False)
+        yield from harness.kernel.sleep(20 * MS)
+        harness.call(session, 1)
         if state == "asked":
             reset(stream)
         elif state == "out":
-            yield from town.kernel.sleep(10 * MS)
+            yield from harness.kernel.sleep(10 * MS)
             assert exchange.agents["a0"].held
             reset(stream)
-        while state in ("stands", "releasing") and not town.answers():
-            yield from town.kernel.sleep(MS)
+        while state in ("stands", "releasing") and not harness.answers():
+            yield from harness.kernel.sleep(MS)
         if state == "releasing":
             session.request("end", lambda transaction_id: package.subtract_text(transaction_id, "*", "c/1"))
-            yield from town.kernel.sleep(2 * MS)
+            yield from harness.kernel.sleep(2 * MS)
         if state in ("stands", "releasing"):
             reset(stream)
-        yield from town.kernel.sleep(SECOND)
-        new_session, new_stream = yield from town.gateway(
+        yield from harness.kernel.sleep(SECOND)
+        new_session, new_stream = yield from harness.gateway(
             first_transaction_id=1000
         )  # restarted without its calls
-        town.kernel.spawn(town.listen(new_session, new_stream), "listen", watch=False)
-        yield from town.kernel.sleep(3 * SECOND)
+        harness.kernel.spawn(harness.listen(new_session, new_stream), "listen", watch=False)
+        yield from harness.kernel.sleep(3 * SECOND)
 
-    town.run(body())
-    answers = [event for event in town.events if isinstance(event, Answered) and event.kept == 1]
+    harness.run(body())
+    answers = [event for event in harness.events if isinstance(event, Answered) and event.kept == 1]
     expected = {"gateway": {"asked": 0, "out": 0}}.get(side, {}).get(state, 1)
     assert len(answers) == expected
-    assert town.agent.calls == {} and town.agent.terminations == {}
-    assert not exchange.agents["a0"].held and town.world.fabric.leaks() == 0
-    assert all(group.taken == 0 for group in town.world.fabric.groups.values())
-    assert town.agent.guard.refusals == {} and town.kernel.crashes == []
+    assert harness.agent.calls == {} and harness.agent.terminations == {}
+    assert not exchange.agents["a0"].held and harness.world.fabric.leaks() == 0
+    assert all(group.taken == 0 for group in harness.world.fabric.groups.values())
+    assert harness.agent.guard.refusals == {} and harness.kernel.crashes == []
 
 
 def test_a_call_cancelled_in_the_batch_that_requests_it_is_no_module_fault() -> None:
-    town = AgentHarness(Limits())
+    harness = AgentHarness(Limits())
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        town.kernel.network.cut_up = 0.0
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(town.listen(session, stream), "listen")
-        yield from town.kernel.sleep(20 * MS)
+        yield from harness.kernel.sleep(SECOND)
+        harness.kernel.network.cut_up = 0.0
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(harness.listen(session, stream), "listen")
+        yield from harness.kernel.sleep(20 * MS)
         parts: list[bytes] = []
         session._write = parts.append
-        town.call(session, 1)
+        harness.call(session, 1)
         session.request("end", lambda transaction_id: package.subtract_text(transaction_id, "*", "c/1"))
         stream.write(b"".join(parts))  # in one write, so that both are in one batch
-        yield from town.kernel.sleep(2 * SECOND)
+        yield from harness.kernel.sleep(2 * SECOND)
 
-    town.run(body())
-    assert town.answers() == {}
-    assert town.agent.counts.values.get("guard_refusals", 0) == 0
-    assert town.agent.calls == {} and town.world.fabric.leaks() == 0
+    harness.run(body())
+    assert harness.answers() == {}
+    assert harness.agent.counts.values.get("guard_refusals", 0) == 0
+    assert harness.agent.calls == {} and harness.world.fabric.leaks() == 0
 
 
 def test_an_unanswered_hello_is_repeated_until_the_restart_is_known() -> None:
     """Guards against a lost hello reply: the agent misses the restart and keeps transit calls for ever."""
-    town = AgentHarness(Limits())
-    exchange = town.world.fabric.exchanges[0]  # the agent's own
+    harness = AgentHarness(Limits())
+    exchange = harness.world.fabric.exchanges[0]  # the agent's own
     cold_until: list[int] = []
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
+        yield from harness.kernel.sleep(SECOND)
         exchange.restart_cold()
         exchange.flags.mute = True  # accepts connections but does not answer the hello
-        yield from town.kernel.sleep(600 * MS)
+        yield from harness.kernel.sleep(600 * MS)
         exchange.flags.mute = False
-        before = town.agent.guard.exchanges[exchange.name].cold_until
-        yield from town.kernel.sleep(3 * SECOND)
-        cold_until.extend((before, town.agent.guard.exchanges[exchange.name].cold_until))
+        before = harness.agent.guard.exchanges[exchange.name].cold_until
+        yield from harness.kernel.sleep(3 * SECOND)
+        cold_until.extend((before, harness.agent.guard.exchanges[exchange.name].cold_until))
 
-    town.run(body())
+    harness.run(body())
     assert cold_until[0] == 0 and cold_until[1] > 0
--- a/tests/agent/test_shutdown.py
+++ b/tests/agent/test_shutdown.py
@@ -12,25 +12,25 @@
 
 
 def test_calls_open_at_a_shutdown_are_answered_and_later_ones_refused_at_once() -> None:
-    town = AgentHarness(Limits())
+    harness = AgentHarness(Limits())
     ended: list[int] = []
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(town.listen(session, stream), "listen")
-        town.call(session, 1)
-        while not town.agent.calls:
-            yield from town.kernel.sleep(SECOND // 10_000)
-        assert town.answers() == {}
-        town.agent.drain(lambda: ended.append(town.kernel.now()))
-        town.call(session, 2)
-        while 2 not in town.answers():
-            yield from town.kernel.sleep(SECOND // 10_000)
-        assert town.answers()[2][0] == REFUSED
+        yield from harness.kernel.sleep(SECOND)
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(harness.listen(session, stream), "listen")
+        harness.call(session, 1)
+        while not harness.agent.calls:
+            yield from harness.kernel.sleep(SECOND // 10_000)
+        assert harness.answers() == {}
+        harness.agent.drain(lambda: ended.append(harness.kernel.now()))
+        harness.call(session, 2)
+        while 2 not in harness.answers():
+            yield from harness.kernel.sleep(SECOND // 10_000)
+        assert harness.answers()[2][0] == REFUSED
         with pytest.raises(Refused):
-            yield from town.gateway("g1")
-        yield from town.kernel.sleep(4 * SECOND)
+            yield from harness.gateway("g1")
+        yield from harness.kernel.sleep(4 * SECOND)
 
-    town.run(body())
-    assert town.answers()[1][0] == 0 and len(ended) == 1
+    harness.run(body())
+    assert harness.answers()[1][0] == 0 and len(ended) == 1
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -27,51 +27,51 @@
 
 
 def test_simultaneous_restarts_get_a_waiting_delay_and_are_accepted_after_it() -> None:
-    town = AgentHarness(Limits(restarts=10))
+    harness = AgentHarness(Limits(restarts=10))
     accepted_at: list[int] = []
 
     def restart_again(session: Session) -> None:
         session.request("hello", lambda number: package.service_change_text(number, "Restart", "901"))
 
     def gateway(name: str) -> Coroutine[None]:
-        session, stream = yield from town.gateway(name)
+        session, stream = yield from harness.gateway(name)
         while data := (yield from stream.read()):
-            for message in session.feed(town.kernel.now(), data):
+            for message in session.feed(harness.kernel.now(), data):
                 if not isinstance(message, Answered) or message.kept != "hello":
                     continue
                 reply_items = services(message)
                 if "ptl/wai" in reply_items:
-                    town.kernel.at(
-                        town.kernel.now() + int(reply_items["ptl/wai"]),
+                    harness.kernel.at(
+                        harness.kernel.now() + int(reply_items["ptl/wai"]),
                         lambda: restart_again(session),
                     )
                 else:
-                    accepted_at.append(town.kernel.now())
+                    accepted_at.append(harness.kernel.now())
                     assert int(reply_items["ptl/mwd"]) > 0
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
+        yield from harness.kernel.sleep(SECOND)
         for number in range(20):
-            town.kernel.spawn(gateway(f"g{number}"), f"g{number}", watch=False)
-        yield from town.kernel.sleep(4 * SECOND)
+            harness.kernel.spawn(gateway(f"g{number}"), f"g{number}", watch=False)
+        yield from harness.kernel.sleep(4 * SECOND)
 
-    town.run(body())
+    harness.run(body())
     assert len(accepted_at) == 20
     accepted_per_second = [
         sum(1 for at in accepted_at if begin <= at < begin + SECOND) for begin in accepted_at
     ]
     assert max(accepted_per_second) <= 13  # 10 a second and the burst
-    assert town.agent.counts.values["restarts_held_back"] >= 18
+    assert harness.agent.counts.values["restarts_held_back"] >= 18
 
 
 def test_a_gateway_that_floods_gets_a_rate_limit_that_is_lifted_later() -> None:
-    town = AgentHarness(Limits())
+    harness = AgentHarness(Limits())
     notices: list[Notice] = []
     codes: list[tuple[int, int]] = []
 
     def receive(session: Any, stream: Any) -> Coroutine[None]:
         while data := (yield from stream.read()):
-            for message in session.feed(town.kernel.now(), data):
+            for message in session.feed(harness.kernel.now(), data):
                 if isinstance(message, NewRequest):
                     command = package.first_command(message.request.actions)
                     assert command is not None
@@ -85,7 +85,7 @@
                     outcome = package.read_outcome(message.reply)
                     codes.append((outcome.code, outcome.retry_after))
 
-    handle, limited_calls = town.agent.controller.handle, list[int]()
+    handle, limited_calls = harness.agent.controller.handle, list[int]()
 
     def record_limited_calls(now: int, events: Any) -> Any:
         events = list(events)
@@ -94,20 +94,20 @@
         )
         return handle(now, events)
 
-    town.agent.controller.handle = record_limited_calls  # type: ignore[method-assign]
+    harness.agent.controller.handle = record_limited_calls  # type: ignore[method-assign]
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        session, stream = yield from town.gateway()
-        town.kernel.spawn(receive(session, stream), "receive", watch=False)
+        yield from harness.kernel.sleep(SECOND)
+        session, stream = yield from harness.gateway()
+        harness.kernel.spawn(receive(session, stream), "receive", watch=False)
         for number in range(300):  # 200 a second; the trunk group has a few circuits
-            town.call(session, number)
-            yield from town.kernel.sleep(5 * MS)
-        yield from town.kernel.sleep(10 * SECOND)
+            harness.call(session, number)
+            yield from harness.kernel.sleep(5 * MS)
+        yield from harness.kernel.sleep(10 * SECOND)
 
-    town.run(body())
+    harness.run(body())
     assert len(codes) == 300  # one final answer each, limited or not
-    assert len(limited_calls) == town.agent.counts.values["held_to_share"] > 10
+    assert len(limited_calls) == harness.agent.counts.values["held_to_share"] > 10
     assert all(come_back > 0 for code, come_back in codes if code == package.REFUSED)
     assert notices[0].lifetime > 0 and notices[0].rate < 200
     assert notices[-1].lifetime == 0  # lifted
@@ -115,17 +115,17 @@
 
 
 def test_notices_go_on_where_a_gateway_does_not_reply_to_them() -> None:
-    town = AgentHarness(Limits(open_requests=1))
-    town.agent.storms.admission.limits_to_announce = lambda: {"<g0>": town.kernel.now() / SECOND}  # type: ignore[method-assign]
+    harness = AgentHarness(Limits(open_requests=1))
+    harness.agent.storms.admission.limits_to_announce = lambda: {"<g0>": harness.kernel.now() / SECOND}  # type: ignore[method-assign]
 
     def body() -> Coroutine[None]:
-        yield from town.kernel.sleep(SECOND)
-        _, stream = yield from town.gateway()
-        yield from town.kernel.sleep(5 * SECOND)
+        yield from harness.kernel.sleep(SECOND)
+        _, stream = yield from harness.gateway()
+        yield from harness.kernel.sleep(5 * SECOND)
         stream.close()
 
-    town.run(body())
-    assert town.agent.counts.values["notices"] > 2 and town.kernel.crashes == []
+    harness.run(body())
+    assert harness.agent.counts.values["notices"] > 2 and harness.kernel.crashes == []
 
 
 @pytest.mark.parametrize(
