--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -43,7 +43,7 @@
     Transactions,
     UnknownTransaction,
 )
-from peattrestle.membership.roll import Told
+from peattrestle.membership.roll import MembershipUpdate
 from peattrestle.runtime import Coroutine, Event, Kernel, Listener, Lost, Refused, Stream
 from peattrestle.settings.agent import Agent as Settings
 
@@ -797,7 +797,7 @@
             registry_settings.retry_most,
         )
 
-    def on_registry_update(self, is_full: bool, update: Told) -> None:
+    def on_registry_update(self, is_full: bool, update: MembershipUpdate) -> None:
         """Applies an update of the registry as rows of the exchange list.
 
         The start time is wall-clock time, which may be adjusted: an impossible age counts as unknown.
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from peattrestle.membership.roll import Roll, Told
+from peattrestle.membership.roll import MembershipUpdate, Roll
 from peattrestle.registry import etcd
 from peattrestle.registry.follower import Apply, Do, Follower, Read, Vouch, Wait, Watch
 from peattrestle.registry.http import BadAnswer, Conversation, End, Head, Lines, Part
@@ -36,7 +36,7 @@
         kernel: Kernel,
         endpoints: tuple[str, ...],
         prefix: str,
-        on_update: Callable[[bool, Told], None],
+        on_update: Callable[[bool, MembershipUpdate], None],
         log: Log,
         count: Callable[[str], None],
         label: str,
@@ -101,7 +101,7 @@
             self.publish(self.roll.apply(now, changes), step.whole and not self.initial_read_done)
             self.initial_read_done |= step.whole
 
-    def publish(self, update: Told, is_full: bool) -> None:
+    def publish(self, update: MembershipUpdate, is_full: bool) -> None:
         """Logs the roll's warnings and passes on its changes, if any."""
         for warning in update.notes:
             self.log("warning", warning, origin="registry")
--- a/peattrestle/membership/roll.py
+++ b/peattrestle/membership/roll.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class MembershipUpdate:
     """Changes to publish: `members` whose entry changed (removed ones have the state 'gone'), and `notes`,
     the messages for the log."""
 
@@ -83,7 +83,7 @@
         """Records that the registry confirmed at `now` that nothing has changed."""
         self.confirmed_at = now
 
-    def apply(self, now: int, changes: Iterable[tuple[bytes, bytes | None, int]]) -> Told:
+    def apply(self, now: int, changes: Iterable[tuple[bytes, bytes | None, int]]) -> MembershipUpdate:
         """Applies changes that arrived together, and returns what to publish.
 
         Each change is the key, its value (None if deleted) and the revision that created the key.
@@ -183,7 +183,7 @@
         exchange.doubtful_since = -1
         exchange.member = replace(exchange.member, entry=structs.replace(exchange.member.entry, state="gone"))
 
-    def look(self, now: int, notes: list[str] | None = None) -> Told:
+    def look(self, now: int, notes: list[str] | None = None) -> MembershipUpdate:
         """Returns the changes to publish at `now`, with removals confirmed and readmissions due by then."""
         changed, notes = [], notes if notes is not None else []
         for exchange in self.exchanges.values():
@@ -205,7 +205,7 @@
                 changed.append(replace(exchange.member, entry=entry))
         for name in [name for name, exchange in self.exchanges.items() if self._is_expired(now, exchange)]:
             del self.exchanges[name]
-        return Told(tuple(changed), tuple(notes))
+        return MembershipUpdate(tuple(changed), tuple(notes))
 
     def _is_expired(self, now: int, exchange: _TrackedExchange) -> bool:
         """Whether a removed exchange can be forgotten: a later return would not be a flap."""
--- a/tests/registry/test_roll.py
+++ b/tests/registry/test_roll.py
@@ -8,7 +8,7 @@
 import pytest
 
 from peattrestle.membership.entries import BadEntry, parse_entry
-from peattrestle.membership.roll import Roll, Told
+from peattrestle.membership.roll import MembershipUpdate, Roll
 
 SECOND = 1_000_000_000
 PREFIX = b"/hubs/"
@@ -22,7 +22,7 @@
         self.revision = 0
         self.list: dict[str, tuple[int, str]] = {}
 
-    def apply(self, seconds: float, **entries: Any) -> Told:
+    def apply(self, seconds: float, **entries: Any) -> MembershipUpdate:
         """Applies changes at a time in seconds: NAME=None deletes a key, NAME={...} puts it."""
         changes = []
         for name, value in entries.items():
@@ -33,10 +33,10 @@
             changes.append((PREFIX + name.encode(), data, self.revision))
         return self.record(self.roll.apply(round(seconds * SECOND), changes))
 
-    def look(self, seconds: float) -> Told:
+    def look(self, seconds: float) -> MembershipUpdate:
         return self.record(self.roll.look(round(seconds * SECOND)))
 
-    def record(self, update: Told) -> Told:
+    def record(self, update: MembershipUpdate) -> MembershipUpdate:
         for member in update.members:
             self.list[member.name] = (member.entry.number, member.entry.state)
         return update
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -11,7 +11,7 @@
 import pytest
 
 from peattrestle.agent.registry import Registry
-from peattrestle.membership.roll import Told
+from peattrestle.membership.roll import MembershipUpdate
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.runtime.epoll import EpollKernel
 from peattrestle.runtime.virtual import Network, VirtualKernel
@@ -48,7 +48,7 @@
         )
         kernel.spawn(self.source.run(), "source")
 
-    def update(self, whole: bool, update: Told) -> None:
+    def update(self, whole: bool, update: MembershipUpdate) -> None:
         self.update_count += 1
         for member in update.members:
             assert self.list.get(member.name, "gone") != member.entry.state or member.entry.address
