--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -93,7 +93,7 @@
         """Applies changes, or the confirmation that nothing has changed, to the roll."""
         now = self.kernel.now()
         if isinstance(step, Vouch):
-            self.roll.vouch(now)
+            self.roll.confirm(now)
         elif isinstance(step, Apply):
             if step.strange:
                 self.log("warning", "connected to another registry than before", why=step.strange)
--- a/peattrestle/membership/roll.py
+++ b/peattrestle/membership/roll.py
@@ -79,7 +79,7 @@
         self.invalid_entries: dict[str, str] = {}
         self._recent_removals: list[tuple[int, str]] = []
 
-    def vouch(self, now: int) -> None:
+    def confirm(self, now: int) -> None:
         """Records that the registry confirmed at `now` that nothing has changed."""
         self.confirmed_at = now
 
--- a/tests/registry/test_roll.py
+++ b/tests/registry/test_roll.py
@@ -197,7 +197,7 @@
     exchange_list = PublishedList()
     assert exchange_list.roll.confirmed_at == -1
     exchange_list.apply(0, **ready_exchanges(4))
-    exchange_list.roll.vouch(7 * SECOND)
+    exchange_list.roll.confirm(7 * SECOND)
     assert exchange_list.roll.confirmed_at == 7 * SECOND
     exchange_list.apply(8, x1=None)
     exchange_list.look(8 + 61)
