--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -114,7 +114,7 @@
             yield from self.kernel.sleep(250_000_000)
             due = self.roll.due()
             if 0 <= due <= self.kernel.now():
-                self.publish(self.roll.look(self.kernel.now()), False)
+                self.publish(self.roll.advance(self.kernel.now()), False)
 
     def perform_remote_step(self, step: Do) -> Coroutine[list[Do]]:
         """Waits, reads or watches; returns the next steps. Raises Refused, Lost, TimedOut, BadAnswer."""
--- a/peattrestle/membership/roll.py
+++ b/peattrestle/membership/roll.py
@@ -117,7 +117,7 @@
             self._update(now, Member(name, entry, created), notes)
         self._remove(now, list(gone), notes)
         self.confirmed_at = now
-        return self.look(now, notes)
+        return self.advance(now, notes)
 
     def _update(self, now: int, member: Member, notes: list[str]) -> None:
         exchange = self.exchanges.get(member.name)
@@ -183,7 +183,7 @@
         exchange.doubtful_since = -1
         exchange.member = replace(exchange.member, entry=structs.replace(exchange.member.entry, state="gone"))
 
-    def look(self, now: int, notes: list[str] | None = None) -> MembershipUpdate:
+    def advance(self, now: int, notes: list[str] | None = None) -> MembershipUpdate:
         """Returns the changes to publish at `now`, with removals confirmed and readmissions due by then."""
         changed, notes = [], notes if notes is not None else []
         for exchange in self.exchanges.values():
@@ -235,7 +235,7 @@
         return owners
 
     def due(self) -> int:
-        """When `look` must be called even without a change; -1 if nothing is pending."""
+        """When `advance` must be called even without a change; -1 if nothing is pending."""
         times = [
             exchange.doubtful_since + self.REMOVAL_CONFIRMATION_NS
             for exchange in self.exchanges.values()
--- a/tests/registry/test_roll.py
+++ b/tests/registry/test_roll.py
@@ -33,8 +33,8 @@
             changes.append((PREFIX + name.encode(), data, self.revision))
         return self.record(self.roll.apply(round(seconds * SECOND), changes))
 
-    def look(self, seconds: float) -> MembershipUpdate:
-        return self.record(self.roll.look(round(seconds * SECOND)))
+    def advance(self, seconds: float) -> MembershipUpdate:
+        return self.record(self.roll.advance(round(seconds * SECOND)))
 
     def record(self, update: MembershipUpdate) -> MembershipUpdate:
         for member in update.members:
@@ -133,9 +133,9 @@
     update = exchange_list.apply(1, **{f"x{number}": None for number in range(lost)})
     gone = [name for name, state in exchange_list.states().items() if state == "gone"]
     assert (gone == []) is kept and bool(update.notes) is kept
-    exchange_list.look(30.5)
+    exchange_list.advance(30.5)
     assert (exchange_list.states()["x0"] == "gone") is not kept
-    exchange_list.look(31)  # the loss is confirmed after 30 s
+    exchange_list.advance(31)  # the loss is confirmed after 30 s
     assert exchange_list.states()["x0"] == "gone"
 
 
@@ -155,7 +155,7 @@
     assert exchange_list.states()["x5"] == "gone" and exchange_list.states()["x0"] == "ready"
     exchange_list.apply(3, x0={"number": 0, "state": "draining"}, x1={"number": 1})
     assert exchange_list.states()["x0"] == "draining" and exchange_list.states()["x1"] == "ready"
-    exchange_list.look(40)
+    exchange_list.advance(40)
     assert exchange_list.states() == {
         "x0": "draining", "x1": "ready", "x2": "gone", "x3": "gone", "x4": "gone", "x5": "gone",
     }  # fmt: skip
@@ -173,7 +173,7 @@
         exchange_list.apply(now, x1={"number": 1})
         while exchange_list.states()["x1"] != "ready":
             now += 0.5
-            exchange_list.look(now)
+            exchange_list.advance(now)
         delays.append(now - returned_at)
     assert delays[:4] == [0, 1, 2, 4] and max(delays) == 60 and delays == sorted(delays)
     assert exchange_list.roll.due() == -1
@@ -200,7 +200,7 @@
     exchange_list.roll.confirm(7 * SECOND)
     assert exchange_list.roll.confirmed_at == 7 * SECOND
     exchange_list.apply(8, x1=None)
-    exchange_list.look(8 + 61)
+    exchange_list.advance(8 + 61)
     assert set(exchange_list.roll.exchanges) == {"x0", "x2", "x3"}
 
 
