--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -43,7 +43,7 @@
     Transactions,
     UnknownTransaction,
 )
-from peattrestle.membership.roll import MembershipUpdate
+from peattrestle.membership.exchange_list import MembershipUpdate
 from peattrestle.runtime import Coroutine, Event, Kernel, Listener, Lost, Refused, Stream
 from peattrestle.settings.agent import Agent as Settings
 
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from peattrestle.membership.roll import MembershipUpdate, Roll
+from peattrestle.membership.exchange_list import MembershipUpdate, Roll
 from peattrestle.registry import etcd
 from peattrestle.registry.follower import Apply, Do, Follower, Read, Vouch, Wait, Watch
 from peattrestle.registry.http import BadAnswer, Conversation, End, Head, Lines, Part
--- a/tests/registry/test_roll.py
+++ b/tests/registry/test_roll.py
@@ -8,7 +8,7 @@
 import pytest
 
 from peattrestle.membership.entries import BadEntry, parse_entry
-from peattrestle.membership.roll import MembershipUpdate, Roll
+from peattrestle.membership.exchange_list import MembershipUpdate, Roll
 
 SECOND = 1_000_000_000
 PREFIX = b"/hubs/"
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -11,7 +11,7 @@
 import pytest
 
 from peattrestle.agent.registry import Registry
-from peattrestle.membership.roll import MembershipUpdate
+from peattrestle.membership.exchange_list import MembershipUpdate
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.runtime.epoll import EpollKernel
 from peattrestle.runtime.virtual import Network, VirtualKernel
