--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -11,7 +11,7 @@
 
 from peattrestle.membership.exchange_list import MembershipUpdate, Roll
 from peattrestle.registry import etcd
-from peattrestle.registry.follower import Apply, Do, Follower, Read, Vouch, Wait, Watch
+from peattrestle.registry.follower import Apply, ConfirmUnchanged, Do, Follower, Read, Wait, Watch
 from peattrestle.registry.http import BadAnswer, Conversation, End, Head, Lines, Part
 from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, TimedOut
 
@@ -92,7 +92,7 @@
     def apply_step(self, step: Do) -> None:
         """Applies changes, or the confirmation that nothing has changed, to the roll."""
         now = self.kernel.now()
-        if isinstance(step, Vouch):
+        if isinstance(step, ConfirmUnchanged):
             self.roll.confirm(now)
         elif isinstance(step, Apply):
             if step.strange:
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -67,13 +67,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Vouch:
+class ConfirmUnchanged:
     """Action: record that nothing changed up to `revision`, so that the content held is current."""
 
     revision: int
 
 
-Do = Read | Watch | Wait | Apply | Vouch
+Do = Read | Watch | Wait | Apply | ConfirmUnchanged
 
 
 @dataclass(slots=True)
@@ -210,7 +210,7 @@
         events, self._fragments = [*self._fragments, *response.events], []
         if not events:
             self.revision = max(self.revision, response.header.revision)
-            return [Vouch(self.revision)]
+            return [ConfirmUnchanged(self.revision)]
         changes: list[Change] = []
         before = self.revision
         self.revision = max(before, events[-1].kv.mod_revision)
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -8,7 +8,17 @@
 
 from peattrestle.registry import etcd
 from peattrestle.registry.etcd import Event, Failed, Header, KeyValue, Range, WatchResponse
-from peattrestle.registry.follower import AWAY, WATCHING, Apply, Change, Follower, Read, Vouch, Wait, Watch
+from peattrestle.registry.follower import (
+    AWAY,
+    WATCHING,
+    Apply,
+    Change,
+    ConfirmUnchanged,
+    Follower,
+    Read,
+    Wait,
+    Watch,
+)
 from peattrestle.registry.http import BadAnswer
 
 
@@ -91,7 +101,7 @@
                     self.undelivered = [WatchResponse(self.registry.header(), created=True)]
                 case Apply():
                     self.applied.apply(action)
-                case Wait() | Vouch():
+                case Wait() | ConfirmUnchanged():
                     pass
 
     pending_read: Range | None = None
@@ -232,7 +242,7 @@
     follower.broken(0.5)
     assert follower.due() == [Watch(2)]  # not 3: nothing was delivered
     follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
-    assert follower.news(WatchResponse(Header(7, 1, 9)), 0.5) == [Vouch(9)]
+    assert follower.news(WatchResponse(Header(7, 1, 9)), 0.5) == [ConfirmUnchanged(9)]
     follower.broken(0.5)
     assert follower.due() == [Watch(10)]
 
