--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -11,7 +11,7 @@
 
 from peattrestle.membership.exchange_list import MembershipUpdate, Roll
 from peattrestle.registry import etcd
-from peattrestle.registry.follower import Apply, ConfirmUnchanged, Do, Follower, Read, Wait, Watch
+from peattrestle.registry.follower import Action, Apply, ConfirmUnchanged, Follower, Read, Wait, Watch
 from peattrestle.registry.http import BadAnswer, Conversation, End, Head, Lines, Part
 from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, TimedOut
 
@@ -71,7 +71,7 @@
                 self.count("registry_bad_answers")
                 steps = self.on_failure(f"bad answer: {error}")
 
-    def on_failure(self, reason: str) -> list[Do]:
+    def on_failure(self, reason: str) -> list[Action]:
         """Logs a failure and moves on to the next endpoint; returns the follower's next steps."""
         self.log(
             "warning",
@@ -83,13 +83,13 @@
         self.endpoints.append(self.endpoints.pop(0))
         return self.follower.broken(self.rng.random())
 
-    def run_local_steps(self, steps: list[Do]) -> Do:
+    def run_local_steps(self, steps: list[Action]) -> Action:
         """Applies the steps that need no connection, and returns the last one, which always does."""
         for step in steps[:-1]:
             self.apply_step(step)
         return steps[-1]
 
-    def apply_step(self, step: Do) -> None:
+    def apply_step(self, step: Action) -> None:
         """Applies changes, or the confirmation that nothing has changed, to the roll."""
         now = self.kernel.now()
         if isinstance(step, ConfirmUnchanged):
@@ -116,7 +116,7 @@
             if 0 <= due <= self.kernel.now():
                 self.publish(self.roll.advance(self.kernel.now()), False)
 
-    def perform_remote_step(self, step: Do) -> Coroutine[list[Do]]:
+    def perform_remote_step(self, step: Action) -> Coroutine[list[Action]]:
         """Waits, reads or watches; returns the next steps. Raises Refused, Lost, TimedOut, BadAnswer."""
         if isinstance(step, Wait):
             yield from self.kernel.sleep(step.length)
@@ -158,7 +158,7 @@
             if not data:
                 raise Lost("connection closed before the end of the answer")
 
-    def follow_watch(self, stream: Stream, conversation: Conversation) -> Coroutine[list[Do]]:
+    def follow_watch(self, stream: Stream, conversation: Conversation) -> Coroutine[list[Action]]:
         """Follows a watch until it ends; returns the next steps. Raises Lost, TimedOut, BadAnswer."""
         lines, status = Lines(MAX_LINE_BYTES), 0
         while True:
@@ -188,7 +188,7 @@
             if not data:
                 raise Lost("connection closed during the watch")
 
-    def handle_watch_line(self, line: bytes, status: int) -> list[Do]:
+    def handle_watch_line(self, line: bytes, status: int) -> list[Action]:
         """Applies one message of the watch; returned steps end the watch. Raises BadAnswer."""
         if status != 200:
             return self.follower.failed(etcd.read_failed(line), self.rng.random())
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -73,7 +73,7 @@
     revision: int
 
 
-Do = Read | Watch | Wait | Apply | ConfirmUnchanged
+Action = Read | Watch | Wait | Apply | ConfirmUnchanged
 
 
 @dataclass(slots=True)
@@ -119,7 +119,7 @@
         self._recent_events: OrderedDict[tuple[bytes, int], None] = OrderedDict()
         self._needs_read = True  # otherwise the watch resumes after `revision`
 
-    def due(self) -> list[Do]:
+    def due(self) -> list[Action]:
         """Starts the next request: at the start, and when a `Wait` has passed."""
         self._fragments.clear()
         if self._needs_read:
@@ -130,7 +130,7 @@
         self.counts.watches += 1
         return [Watch(self.revision + 1)]
 
-    def broken(self, chance: float) -> list[Do]:
+    def broken(self, chance: float) -> list[Action]:
         """Handles a lost connection, an illegal answer or a timeout.
 
         `chance`: a random number from 0 to 1 that spreads the retry delay.
@@ -142,19 +142,19 @@
         self._retry_delay = min(2 * self._retry_delay, self.most)
         return [Wait(length)]
 
-    def failed(self, error: Failed, chance: float) -> list[Do]:
+    def failed(self, error: Failed, chance: float) -> list[Action]:
         """Handles an error answer. A compacted watch is followed by a full read at once; after any other
         error the follower waits as in `broken`."""
         if error.compacted and self.state == WATCHING:
             return self._restart_with_read()
         return self.broken(chance)
 
-    def _restart_with_read(self) -> list[Do]:
+    def _restart_with_read(self) -> list[Action]:
         self.counts.compacted += 1
         self._needs_read = True
         return self.due()
 
-    def read(self, answer: Range) -> list[Do]:
+    def read(self, answer: Range) -> list[Action]:
         """Applies the differences between a full read and the content held, then watches from there on.
 
         Raises `BadAnswer` for an answer that was not requested or is not complete.
@@ -190,7 +190,7 @@
             return f"revision {revision} after {self.revision}"
         return ""
 
-    def news(self, response: WatchResponse, chance: float) -> list[Do]:
+    def news(self, response: WatchResponse, chance: float) -> list[Action]:
         """Handles one message of the watch. Raises `BadAnswer` if it was not requested or is too long."""
         if self.state != WATCHING:
             raise BadAnswer("watch: a message of a watch that was not requested")
@@ -234,6 +234,6 @@
             self._recent_events.popitem(last=False)
         return self._apply(changes)
 
-    def _apply(self, changes: list[Change]) -> list[Do]:
+    def _apply(self, changes: list[Change]) -> list[Action]:
         self.counts.applied += len(changes)
         return [Apply(tuple(changes), self.revision)] if changes else []
