--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -11,7 +11,7 @@
 
 from peattrestle.membership.exchange_list import MembershipUpdate, Roll
 from peattrestle.registry import etcd
-from peattrestle.registry.follower import Action, Apply, ConfirmUnchanged, Follower, Read, Wait, Watch
+from peattrestle.registry.follower import Action, Apply, ConfirmUnchanged, Follower, RequestRead, Wait, Watch
 from peattrestle.registry.http import BadAnswer, Conversation, End, Head, Lines, Part
 from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, TimedOut
 
@@ -125,7 +125,7 @@
         stream = yield from self.kernel.connect(endpoint, self.dial_timeout, self.label)
         try:
             conversation = Conversation(endpoint, f"peattrestle/{self.label}")
-            if isinstance(step, Read):
+            if isinstance(step, RequestRead):
                 stream.write(conversation.post(etcd.RANGE, etcd.range_of(self.prefix)))
                 result = yield from self.kernel.within(
                     self.answer_timeout,
@@ -197,7 +197,7 @@
             return self.follower.failed(message, self.rng.random())
         steps = self.follower.news(message, self.rng.random())
         for index, step in enumerate(steps):
-            if isinstance(step, Read | Watch | Wait):
+            if isinstance(step, RequestRead | Watch | Wait):
                 return steps[index:]
             self.apply_step(step)
         return []
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Read:
+class RequestRead:
     """Action: request all keys as they are now."""
 
 
@@ -73,7 +73,7 @@
     revision: int
 
 
-Action = Read | Watch | Wait | Apply | ConfirmUnchanged
+Action = RequestRead | Watch | Wait | Apply | ConfirmUnchanged
 
 
 @dataclass(slots=True)
@@ -125,7 +125,7 @@
         if self._needs_read:
             self.state = READING
             self.counts.reads += 1
-            return [Read()]
+            return [RequestRead()]
         self.state = WATCHING
         self.counts.watches += 1
         return [Watch(self.revision + 1)]
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -15,7 +15,7 @@
     Change,
     ConfirmUnchanged,
     Follower,
-    Read,
+    RequestRead,
     Wait,
     Watch,
 )
@@ -92,7 +92,7 @@
     def perform(self, actions: list) -> None:  # type: ignore[type-arg]
         for action in actions:
             match action:
-                case Read():
+                case RequestRead():
                     self.pending_read = self.registry.range() if self.random.random() < 0.9 else None
                 case Watch(since):
                     if self.registry.since(since) is None:
@@ -178,7 +178,7 @@
 def watching_follower(registry: Registry) -> Follower:
     """A follower that has read the whole registry and watches it."""
     follower = Follower()
-    assert follower.due() == [Read()]
+    assert follower.due() == [RequestRead()]
     follower.read(registry.range())
     return follower
 
@@ -193,7 +193,7 @@
     assert follower.news(WatchResponse(registry.header(), events=[second]), 0.5) == [
         Apply((Change(b"/x/2", b"c", 4, 4),), 4)
     ]
-    assert follower.news(WatchResponse(registry.header(), events=[first]), 0.5) == [Read()]
+    assert follower.news(WatchResponse(registry.header(), events=[first]), 0.5) == [RequestRead()]
     (apply, watch) = follower.read(registry.range())
     assert apply == Apply((Change(b"/x/1", b"b", 3, 2),), 4, True) and watch == Watch(5)
 
@@ -209,7 +209,7 @@
     follower = watching_follower(registry)
     other = Registry(change.get("cluster", 7))
     other.revision = change.get("revision", 50)
-    assert follower.news(WatchResponse(other.header(), created=True), 0.5) == [Read()]
+    assert follower.news(WatchResponse(other.header(), created=True), 0.5) == [RequestRead()]
     apply = follower.read(other.range())[0]
     assert isinstance(apply, Apply) and apply.strange == strange
     assert [(each.key, each.value) for each in apply.changes] == [
@@ -224,14 +224,14 @@
         registry.put(key, b"a")
     follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
     copy = Registry()  # restored from a backup older than both changes
-    assert follower.news(WatchResponse(copy.header(), created=True), 0.5) == [Read()]
+    assert follower.news(WatchResponse(copy.header(), created=True), 0.5) == [RequestRead()]
     follower.read(copy.range())
     for key in (b"/x/1", b"/x/2"):
         copy.put(key, b"b")
     follower.news(WatchResponse(copy.header(), events=copy.history[1:]), 0.5)
     # The first event arrives out of order. The same key and revision was applied before, but in the
     # history of the other registry, so it must not pass for a repeated event.
-    assert follower.news(WatchResponse(copy.header(), events=copy.history[:1]), 0.5) == [Read()]
+    assert follower.news(WatchResponse(copy.header(), events=copy.history[:1]), 0.5) == [RequestRead()]
 
 
 def test_a_created_message_confirms_nothing_and_a_progress_message_does() -> None:
@@ -285,7 +285,7 @@
     follower.read(registry.range())
     assert follower.broken(1.0) == [Wait(follower.least)]  # a full read restarts them too
     follower.due()
-    assert follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [Read()]
+    assert follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
 
 
 HEADER = b'"header":{"cluster_id":"1","revision":"5"}'
