--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -11,7 +11,15 @@
 
 from peattrestle.membership.exchange_list import MembershipUpdate, Roll
 from peattrestle.registry import etcd
-from peattrestle.registry.follower import Action, Apply, ConfirmUnchanged, Follower, RequestRead, Wait, Watch
+from peattrestle.registry.follower import (
+    Action,
+    Apply,
+    ConfirmUnchanged,
+    Follower,
+    RequestRead,
+    RequestWatch,
+    Wait,
+)
 from peattrestle.registry.http import BadAnswer, Conversation, End, Head, Lines, Part
 from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, TimedOut
 
@@ -135,7 +143,7 @@
                 if isinstance(result, etcd.Failed):
                     return self.follower.failed(result, self.rng.random())
                 return self.follower.read(etcd.read_range(result))
-            assert isinstance(step, Watch)
+            assert isinstance(step, RequestWatch)
             stream.write(conversation.post(etcd.WATCH, etcd.watch_of(self.prefix, step.since)))
             return (yield from self.follow_watch(stream, conversation))
         finally:
@@ -197,7 +205,7 @@
             return self.follower.failed(message, self.rng.random())
         steps = self.follower.news(message, self.rng.random())
         for index, step in enumerate(steps):
-            if isinstance(step, RequestRead | Watch | Wait):
+            if isinstance(step, RequestRead | RequestWatch | Wait):
                 return steps[index:]
             self.apply_step(step)
         return []
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Watch:
+class RequestWatch:
     """Action: request every change from the revision `since` on."""
 
     since: int
@@ -73,7 +73,7 @@
     revision: int
 
 
-Action = RequestRead | Watch | Wait | Apply | ConfirmUnchanged
+Action = RequestRead | RequestWatch | Wait | Apply | ConfirmUnchanged
 
 
 @dataclass(slots=True)
@@ -128,7 +128,7 @@
             return [RequestRead()]
         self.state = WATCHING
         self.counts.watches += 1
-        return [Watch(self.revision + 1)]
+        return [RequestWatch(self.revision + 1)]
 
     def broken(self, chance: float) -> list[Action]:
         """Handles a lost connection, an illegal answer or a timeout.
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -16,8 +16,8 @@
     ConfirmUnchanged,
     Follower,
     RequestRead,
+    RequestWatch,
     Wait,
-    Watch,
 )
 from peattrestle.registry.http import BadAnswer
 
@@ -94,7 +94,7 @@
             match action:
                 case RequestRead():
                     self.pending_read = self.registry.range() if self.random.random() < 0.9 else None
-                case Watch(since):
+                case RequestWatch(since):
                     if self.registry.since(since) is None:
                         self.watch_compacted = True
                     self.sent = since - 1
@@ -195,7 +195,7 @@
     ]
     assert follower.news(WatchResponse(registry.header(), events=[first]), 0.5) == [RequestRead()]
     (apply, watch) = follower.read(registry.range())
-    assert apply == Apply((Change(b"/x/1", b"b", 3, 2),), 4, True) and watch == Watch(5)
+    assert apply == Apply((Change(b"/x/1", b"b", 3, 2),), 4, True) and watch == RequestWatch(5)
 
 
 @pytest.mark.parametrize(
@@ -240,11 +240,11 @@
     registry.put(b"/x/1", b"a")  # between the read and the watch
     assert follower.news(WatchResponse(registry.header(), created=True), 0.5) == []
     follower.broken(0.5)
-    assert follower.due() == [Watch(2)]  # not 3: nothing was delivered
+    assert follower.due() == [RequestWatch(2)]  # not 3: nothing was delivered
     follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
     assert follower.news(WatchResponse(Header(7, 1, 9)), 0.5) == [ConfirmUnchanged(9)]
     follower.broken(0.5)
-    assert follower.due() == [Watch(10)]
+    assert follower.due() == [RequestWatch(10)]
 
 
 def test_fragments_are_applied_together_or_not_at_all() -> None:
@@ -256,7 +256,7 @@
         follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
     )
     follower.broken(0.5)
-    assert follower.due() == [Watch(2)]
+    assert follower.due() == [RequestWatch(2)]
     assert (
         follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
     )
