--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -68,7 +68,7 @@
         # Jitter: agents that start together should not read at the same time.
         yield from self.kernel.sleep(self.rng.randint(0, self.follower.least))
         self.kernel.spawn(self.publish_due_changes(), "roll")
-        steps = self.follower.due()
+        steps = self.follower.start_request()
         while True:
             remote_step = self.run_local_steps(steps)
             try:
@@ -128,7 +128,7 @@
         """Waits, reads or watches; returns the next steps. Raises Refused, Lost, TimedOut, BadAnswer."""
         if isinstance(step, Wait):
             yield from self.kernel.sleep(step.length)
-            return self.follower.due()
+            return self.follower.start_request()
         endpoint = self.endpoints[0]
         stream = yield from self.kernel.connect(endpoint, self.dial_timeout, self.label)
         try:
@@ -178,7 +178,7 @@
                 if status != 200:
                     raise
                 self.count("registry_quiet")
-                return self.follower.due()
+                return self.follower.start_request()
             for piece in conversation.feed(data):
                 if isinstance(piece, Head):
                     status = piece.status
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -5,7 +5,7 @@
 
 | state | meaning | ends with |
 | --- | --- | --- |
-| away | no request is open; a retry delay is running | `due` |
+| away | no request is open; a retry delay is running | `start_request` |
 | reading | a full read was requested | its answer, an error, a lost connection |
 | watching | a watch from `revision` + 1 was requested | cancelled, compacted, a lost connection |
 """
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Wait:
-    """Action: call `due` after `length` nanoseconds."""
+    """Action: call `start_request` after `length` nanoseconds."""
 
     length: int
 
@@ -119,7 +119,7 @@
         self._recent_events: OrderedDict[tuple[bytes, int], None] = OrderedDict()
         self._needs_read = True  # otherwise the watch resumes after `revision`
 
-    def due(self) -> list[Action]:
+    def start_request(self) -> list[Action]:
         """Starts the next request: at the start, and when a `Wait` has passed."""
         self._fragments.clear()
         if self._needs_read:
@@ -152,7 +152,7 @@
     def _restart_with_read(self) -> list[Action]:
         self.counts.compacted += 1
         self._needs_read = True
-        return self.due()
+        return self.start_request()
 
     def read(self, answer: Range) -> list[Action]:
         """Applies the differences between a full read and the content held, then watches from there on.
@@ -180,7 +180,7 @@
         self.cluster, self.revision = answer.header.cluster_id, answer.header.revision
         self.counts.applied += len(changes)
         self._needs_read, self._retry_delay = False, self.least
-        return [Apply(tuple(changes), self.revision, True, strange), *self.due()]
+        return [Apply(tuple(changes), self.revision, True, strange), *self.start_request()]
 
     def _difference(self, cluster: int, revision: int) -> str:
         """How an answer shows another registry or an older copy of it; empty if it does not."""
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -87,7 +87,7 @@
         self.random = random.Random(seed)
         self.registry, self.follower, self.applied = Registry(), Follower(), AppliedChanges()
         self.sent = 0  # the last revision sent to the watch
-        self.perform(self.follower.due())
+        self.perform(self.follower.start_request())
 
     def perform(self, actions: list) -> None:  # type: ignore[type-arg]
         for action in actions:
@@ -112,7 +112,7 @@
         """Delivers what is pending, or loses the connection."""
         chance = self.random.random()
         if self.follower.state == AWAY:
-            self.perform(self.follower.due())
+            self.perform(self.follower.start_request())
         elif self.follower.state == WATCHING:
             if self.watch_compacted:
                 self.watch_compacted = False
@@ -178,7 +178,7 @@
 def watching_follower(registry: Registry) -> Follower:
     """A follower that has read the whole registry and watches it."""
     follower = Follower()
-    assert follower.due() == [RequestRead()]
+    assert follower.start_request() == [RequestRead()]
     follower.read(registry.range())
     return follower
 
@@ -240,11 +240,11 @@
     registry.put(b"/x/1", b"a")  # between the read and the watch
     assert follower.news(WatchResponse(registry.header(), created=True), 0.5) == []
     follower.broken(0.5)
-    assert follower.due() == [RequestWatch(2)]  # not 3: nothing was delivered
+    assert follower.start_request() == [RequestWatch(2)]  # not 3: nothing was delivered
     follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
     assert follower.news(WatchResponse(Header(7, 1, 9)), 0.5) == [ConfirmUnchanged(9)]
     follower.broken(0.5)
-    assert follower.due() == [RequestWatch(10)]
+    assert follower.start_request() == [RequestWatch(10)]
 
 
 def test_fragments_are_applied_together_or_not_at_all() -> None:
@@ -256,7 +256,7 @@
         follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
     )
     follower.broken(0.5)
-    assert follower.due() == [RequestWatch(2)]
+    assert follower.start_request() == [RequestWatch(2)]
     assert (
         follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
     )
@@ -272,19 +272,19 @@
         (wait,) = follower.broken(chance)
         assert isinstance(wait, Wait)
         waits.append(wait.length)
-        follower.due()
+        follower.start_request()
     assert waits == [follower.least // 2, 2 * follower.least, 2 * follower.least, 8 * follower.least]
     follower.news(WatchResponse(registry.header()), 0.5)
     (wait,) = follower.broken(1.0)
     assert wait == Wait(follower.least)
-    follower.due()
+    follower.start_request()
     for _ in range(4):
         follower.broken(1.0)
-        follower.due()
+        follower.start_request()
     follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
     follower.read(registry.range())
     assert follower.broken(1.0) == [Wait(follower.least)]  # a full read restarts them too
-    follower.due()
+    follower.start_request()
     assert follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
 
 
