--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -89,7 +89,7 @@
             revision=self.follower.revision,
         )
         self.endpoints.append(self.endpoints.pop(0))
-        return self.follower.broken(self.rng.random())
+        return self.follower.on_connection_lost(self.rng.random())
 
     def run_local_steps(self, steps: list[Action]) -> Action:
         """Applies the steps that need no connection, and returns the last one, which always does."""
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -130,7 +130,7 @@
         self.counts.watches += 1
         return [RequestWatch(self.revision + 1)]
 
-    def broken(self, chance: float) -> list[Action]:
+    def on_connection_lost(self, chance: float) -> list[Action]:
         """Handles a lost connection, an illegal answer or a timeout.
 
         `chance`: a random number from 0 to 1 that spreads the retry delay.
@@ -144,10 +144,10 @@
 
     def failed(self, error: Failed, chance: float) -> list[Action]:
         """Handles an error answer. A compacted watch is followed by a full read at once; after any other
-        error the follower waits as in `broken`."""
+        error the follower waits as in `on_connection_lost`."""
         if error.compacted and self.state == WATCHING:
             return self._restart_with_read()
-        return self.broken(chance)
+        return self.on_connection_lost(chance)
 
     def _restart_with_read(self) -> list[Action]:
         self.counts.compacted += 1
@@ -195,7 +195,7 @@
         if self.state != WATCHING:
             raise BadAnswer("watch: a message of a watch that was not requested")
         if response.canceled:
-            return self._restart_with_read() if response.compact_revision else self.broken(chance)
+            return self._restart_with_read() if response.compact_revision else self.on_connection_lost(chance)
         if self._difference(response.header.cluster_id, response.header.revision):
             # Another registry or an older copy answers: its changes don't follow on the content held.
             return self._restart_with_read()
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -123,7 +123,7 @@
                 return
             if chance < 0.1:
                 self.undelivered = []
-                self.perform(self.follower.broken(chance))
+                self.perform(self.follower.on_connection_lost(chance))
                 return
             events = self.registry.since(self.sent + 1)
             if events is None:
@@ -142,7 +142,9 @@
                     self.perform(self.follower.news(response, chance))
         else:
             answer, self.pending_read = self.pending_read, None
-            self.perform(self.follower.broken(chance) if answer is None else self.follower.read(answer))
+            self.perform(
+                self.follower.on_connection_lost(chance) if answer is None else self.follower.read(answer)
+            )
 
     def change_registry(self) -> None:
         key = f"/x/{self.random.randrange(8)}".encode()
@@ -239,11 +241,11 @@
     follower = watching_follower(registry)
     registry.put(b"/x/1", b"a")  # between the read and the watch
     assert follower.news(WatchResponse(registry.header(), created=True), 0.5) == []
-    follower.broken(0.5)
+    follower.on_connection_lost(0.5)
     assert follower.start_request() == [RequestWatch(2)]  # not 3: nothing was delivered
     follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
     assert follower.news(WatchResponse(Header(7, 1, 9)), 0.5) == [ConfirmUnchanged(9)]
-    follower.broken(0.5)
+    follower.on_connection_lost(0.5)
     assert follower.start_request() == [RequestWatch(10)]
 
 
@@ -255,7 +257,7 @@
     assert (
         follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
     )
-    follower.broken(0.5)
+    follower.on_connection_lost(0.5)
     assert follower.start_request() == [RequestWatch(2)]
     assert (
         follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
@@ -269,21 +271,21 @@
     follower = watching_follower(registry)
     waits = []
     for chance in (0.0, 1.0, 0.0, 1.0):
-        (wait,) = follower.broken(chance)
+        (wait,) = follower.on_connection_lost(chance)
         assert isinstance(wait, Wait)
         waits.append(wait.length)
         follower.start_request()
     assert waits == [follower.least // 2, 2 * follower.least, 2 * follower.least, 8 * follower.least]
     follower.news(WatchResponse(registry.header()), 0.5)
-    (wait,) = follower.broken(1.0)
+    (wait,) = follower.on_connection_lost(1.0)
     assert wait == Wait(follower.least)
     follower.start_request()
     for _ in range(4):
-        follower.broken(1.0)
+        follower.on_connection_lost(1.0)
         follower.start_request()
     follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
     follower.read(registry.range())
-    assert follower.broken(1.0) == [Wait(follower.least)]  # a full read restarts them too
+    assert follower.on_connection_lost(1.0) == [Wait(follower.least)]  # a full read restarts them too
     follower.start_request()
     assert follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
 
