--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -141,7 +141,7 @@
                     "timed out waiting for the registry's answer",
                 )
                 if isinstance(result, etcd.Failed):
-                    return self.follower.failed(result, self.rng.random())
+                    return self.follower.on_error(result, self.rng.random())
                 return self.follower.read(etcd.read_range(result))
             assert isinstance(step, RequestWatch)
             stream.write(conversation.post(etcd.WATCH, etcd.watch_of(self.prefix, step.since)))
@@ -199,10 +199,10 @@
     def handle_watch_line(self, line: bytes, status: int) -> list[Action]:
         """Applies one message of the watch; returned steps end the watch. Raises BadAnswer."""
         if status != 200:
-            return self.follower.failed(etcd.read_failed(line), self.rng.random())
+            return self.follower.on_error(etcd.read_failed(line), self.rng.random())
         message = etcd.read_news(line)
         if isinstance(message, etcd.Failed):
-            return self.follower.failed(message, self.rng.random())
+            return self.follower.on_error(message, self.rng.random())
         steps = self.follower.news(message, self.rng.random())
         for index, step in enumerate(steps):
             if isinstance(step, RequestRead | RequestWatch | Wait):
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -142,7 +142,7 @@
         self._retry_delay = min(2 * self._retry_delay, self.most)
         return [Wait(length)]
 
-    def failed(self, error: Failed, chance: float) -> list[Action]:
+    def on_error(self, error: Failed, chance: float) -> list[Action]:
         """Handles an error answer. A compacted watch is followed by a full read at once; after any other
         error the follower waits as in `on_connection_lost`."""
         if error.compacted and self.state == WATCHING:
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -283,11 +283,11 @@
     for _ in range(4):
         follower.on_connection_lost(1.0)
         follower.start_request()
-    follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
+    follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
     follower.read(registry.range())
     assert follower.on_connection_lost(1.0) == [Wait(follower.least)]  # a full read restarts them too
     follower.start_request()
-    assert follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
+    assert follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
 
 
 HEADER = b'"header":{"cluster_id":"1","revision":"5"}'
