--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -142,7 +142,7 @@
                 )
                 if isinstance(result, etcd.Failed):
                     return self.follower.on_error(result, self.rng.random())
-                return self.follower.read(etcd.read_range(result))
+                return self.follower.on_read(etcd.read_range(result))
             assert isinstance(step, RequestWatch)
             stream.write(conversation.post(etcd.WATCH, etcd.watch_of(self.prefix, step.since)))
             return (yield from self.follow_watch(stream, conversation))
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -154,7 +154,7 @@
         self._needs_read = True
         return self.start_request()
 
-    def read(self, answer: Range) -> list[Action]:
+    def on_read(self, answer: Range) -> list[Action]:
         """Applies the differences between a full read and the content held, then watches from there on.
 
         Raises `BadAnswer` for an answer that was not requested or is not complete.
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -143,7 +143,7 @@
         else:
             answer, self.pending_read = self.pending_read, None
             self.perform(
-                self.follower.on_connection_lost(chance) if answer is None else self.follower.read(answer)
+                self.follower.on_connection_lost(chance) if answer is None else self.follower.on_read(answer)
             )
 
     def change_registry(self) -> None:
@@ -181,7 +181,7 @@
     """A follower that has read the whole registry and watches it."""
     follower = Follower()
     assert follower.start_request() == [RequestRead()]
-    follower.read(registry.range())
+    follower.on_read(registry.range())
     return follower
 
 
@@ -196,7 +196,7 @@
         Apply((Change(b"/x/2", b"c", 4, 4),), 4)
     ]
     assert follower.news(WatchResponse(registry.header(), events=[first]), 0.5) == [RequestRead()]
-    (apply, watch) = follower.read(registry.range())
+    (apply, watch) = follower.on_read(registry.range())
     assert apply == Apply((Change(b"/x/1", b"b", 3, 2),), 4, True) and watch == RequestWatch(5)
 
 
@@ -212,7 +212,7 @@
     other = Registry(change.get("cluster", 7))
     other.revision = change.get("revision", 50)
     assert follower.news(WatchResponse(other.header(), created=True), 0.5) == [RequestRead()]
-    apply = follower.read(other.range())[0]
+    apply = follower.on_read(other.range())[0]
     assert isinstance(apply, Apply) and apply.strange == strange
     assert [(each.key, each.value) for each in apply.changes] == [
         (f"/x/{number}".encode(), None) for number in range(3)
@@ -227,7 +227,7 @@
     follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
     copy = Registry()  # restored from a backup older than both changes
     assert follower.news(WatchResponse(copy.header(), created=True), 0.5) == [RequestRead()]
-    follower.read(copy.range())
+    follower.on_read(copy.range())
     for key in (b"/x/1", b"/x/2"):
         copy.put(key, b"b")
     follower.news(WatchResponse(copy.header(), events=copy.history[1:]), 0.5)
@@ -284,7 +284,7 @@
         follower.on_connection_lost(1.0)
         follower.start_request()
     follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
-    follower.read(registry.range())
+    follower.on_read(registry.range())
     assert follower.on_connection_lost(1.0) == [Wait(follower.least)]  # a full read restarts them too
     follower.start_request()
     assert follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
