--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -203,7 +203,7 @@
         message = etcd.read_news(line)
         if isinstance(message, etcd.Failed):
             return self.follower.on_error(message, self.rng.random())
-        steps = self.follower.news(message, self.rng.random())
+        steps = self.follower.on_watch_message(message, self.rng.random())
         for index, step in enumerate(steps):
             if isinstance(step, RequestRead | RequestWatch | Wait):
                 return steps[index:]
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -190,7 +190,7 @@
             return f"revision {revision} after {self.revision}"
         return ""
 
-    def news(self, response: WatchResponse, chance: float) -> list[Action]:
+    def on_watch_message(self, response: WatchResponse, chance: float) -> list[Action]:
         """Handles one message of the watch. Raises `BadAnswer` if it was not requested or is too long."""
         if self.state != WATCHING:
             raise BadAnswer("watch: a message of a watch that was not requested")
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -119,7 +119,7 @@
                 cancel = WatchResponse(
                     self.registry.header(), canceled=True, compact_revision=self.registry.compacted
                 )
-                self.perform(self.follower.news(cancel, chance))
+                self.perform(self.follower.on_watch_message(cancel, chance))
                 return
             if chance < 0.1:
                 self.undelivered = []
@@ -139,7 +139,7 @@
             responses, self.undelivered = self.undelivered, []
             for response in responses:
                 if self.follower.state == WATCHING:
-                    self.perform(self.follower.news(response, chance))
+                    self.perform(self.follower.on_watch_message(response, chance))
         else:
             answer, self.pending_read = self.pending_read, None
             self.perform(
@@ -192,10 +192,10 @@
     registry.put(b"/x/1", b"b")
     registry.put(b"/x/2", b"c")
     first, second = registry.history[-2:]
-    assert follower.news(WatchResponse(registry.header(), events=[second]), 0.5) == [
+    assert follower.on_watch_message(WatchResponse(registry.header(), events=[second]), 0.5) == [
         Apply((Change(b"/x/2", b"c", 4, 4),), 4)
     ]
-    assert follower.news(WatchResponse(registry.header(), events=[first]), 0.5) == [RequestRead()]
+    assert follower.on_watch_message(WatchResponse(registry.header(), events=[first]), 0.5) == [RequestRead()]
     (apply, watch) = follower.on_read(registry.range())
     assert apply == Apply((Change(b"/x/1", b"b", 3, 2),), 4, True) and watch == RequestWatch(5)
 
@@ -211,7 +211,7 @@
     follower = watching_follower(registry)
     other = Registry(change.get("cluster", 7))
     other.revision = change.get("revision", 50)
-    assert follower.news(WatchResponse(other.header(), created=True), 0.5) == [RequestRead()]
+    assert follower.on_watch_message(WatchResponse(other.header(), created=True), 0.5) == [RequestRead()]
     apply = follower.on_read(other.range())[0]
     assert isinstance(apply, Apply) and apply.strange == strange
     assert [(each.key, each.value) for each in apply.changes] == [
@@ -224,27 +224,29 @@
     follower = watching_follower(registry)
     for key in (b"/x/1", b"/x/2"):
         registry.put(key, b"a")
-    follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
+    follower.on_watch_message(WatchResponse(registry.header(), events=registry.history), 0.5)
     copy = Registry()  # restored from a backup older than both changes
-    assert follower.news(WatchResponse(copy.header(), created=True), 0.5) == [RequestRead()]
+    assert follower.on_watch_message(WatchResponse(copy.header(), created=True), 0.5) == [RequestRead()]
     follower.on_read(copy.range())
     for key in (b"/x/1", b"/x/2"):
         copy.put(key, b"b")
-    follower.news(WatchResponse(copy.header(), events=copy.history[1:]), 0.5)
+    follower.on_watch_message(WatchResponse(copy.header(), events=copy.history[1:]), 0.5)
     # The first event arrives out of order. The same key and revision was applied before, but in the
     # history of the other registry, so it must not pass for a repeated event.
-    assert follower.news(WatchResponse(copy.header(), events=copy.history[:1]), 0.5) == [RequestRead()]
+    assert follower.on_watch_message(WatchResponse(copy.header(), events=copy.history[:1]), 0.5) == [
+        RequestRead()
+    ]
 
 
 def test_a_created_message_confirms_nothing_and_a_progress_message_does() -> None:
     registry = Registry()
     follower = watching_follower(registry)
     registry.put(b"/x/1", b"a")  # between the read and the watch
-    assert follower.news(WatchResponse(registry.header(), created=True), 0.5) == []
+    assert follower.on_watch_message(WatchResponse(registry.header(), created=True), 0.5) == []
     follower.on_connection_lost(0.5)
     assert follower.start_request() == [RequestWatch(2)]  # not 3: nothing was delivered
-    follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
-    assert follower.news(WatchResponse(Header(7, 1, 9)), 0.5) == [ConfirmUnchanged(9)]
+    follower.on_watch_message(WatchResponse(registry.header(), events=registry.history), 0.5)
+    assert follower.on_watch_message(WatchResponse(Header(7, 1, 9)), 0.5) == [ConfirmUnchanged(9)]
     follower.on_connection_lost(0.5)
     assert follower.start_request() == [RequestWatch(10)]
 
@@ -255,14 +257,20 @@
     registry.put(b"/x/1", b"a")
     registry.put(b"/x/2", b"b")
     assert (
-        follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
+        follower.on_watch_message(
+            WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5
+        )
+        == []
     )
     follower.on_connection_lost(0.5)
     assert follower.start_request() == [RequestWatch(2)]
     assert (
-        follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
+        follower.on_watch_message(
+            WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5
+        )
+        == []
     )
-    (apply,) = follower.news(WatchResponse(registry.header(), events=registry.history[1:]), 0.5)
+    (apply,) = follower.on_watch_message(WatchResponse(registry.header(), events=registry.history[1:]), 0.5)
     assert isinstance(apply, Apply) and len(apply.changes) == 2
 
 
@@ -276,7 +284,7 @@
         waits.append(wait.length)
         follower.start_request()
     assert waits == [follower.least // 2, 2 * follower.least, 2 * follower.least, 8 * follower.least]
-    follower.news(WatchResponse(registry.header()), 0.5)
+    follower.on_watch_message(WatchResponse(registry.header()), 0.5)
     (wait,) = follower.on_connection_lost(1.0)
     assert wait == Wait(follower.least)
     follower.start_request()
