--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -200,7 +200,7 @@
         """Applies one message of the watch; returned steps end the watch. Raises BadAnswer."""
         if status != 200:
             return self.follower.on_error(etcd.read_failed(line), self.rng.random())
-        message = etcd.read_news(line)
+        message = etcd.read_watch_response(line)
         if isinstance(message, etcd.Failed):
             return self.follower.on_error(message, self.rng.random())
         steps = self.follower.on_watch_message(message, self.rng.random())
--- a/peattrestle/registry/etcd.py
+++ b/peattrestle/registry/etcd.py
@@ -135,7 +135,7 @@
     return answer
 
 
-def read_news(line: bytes) -> WatchResponse | Failed:
+def read_watch_response(line: bytes) -> WatchResponse | Failed:
     """Parses one line of a watch.
 
     Raises `BadAnswer`, also if the events' revisions decrease or are higher than the header's.
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -311,10 +311,14 @@
         b"{" + HEADER + b',"kvs":[{"key":"YQ==","mod_revision":"6"}]}',
         "revision 6, the header 5",
     ),
-    (etcd.read_news, b"{}", "neither"),
-    (etcd.read_news, b'{"result":{' + HEADER + b',"events":[{"type":"ADD","kv":{"key":"YQ=="}}]}}', "type"),
+    (etcd.read_watch_response, b"{}", "neither"),
     (
-        etcd.read_news,
+        etcd.read_watch_response,
+        b'{"result":{' + HEADER + b',"events":[{"type":"ADD","kv":{"key":"YQ=="}}]}}',
+        "type",
+    ),
+    (
+        etcd.read_watch_response,
         b'{"result":{' + HEADER + b',"events":[{"kv":{"key":"YQ==","mod_revision":"4"}},'
         b'{"kv":{"key":"YQ==","mod_revision":"3"}}]}}',
         "3 after 4",
@@ -332,7 +336,7 @@
     assert etcd.watch_of(b"/x/", 9) == (
         b'{"create_request":{"key":"L3gv","range_end":"L3gw","start_revision":"9","progress_notify":true}}'
     )
-    response = etcd.read_news(
+    response = etcd.read_watch_response(
         b'{"result":{"header":{"cluster_id":"18446744073709551615","member_id":"2","revision":"12","raft_term":"3"},'
         b'"events":[{"kv":{"key":"L3gvMQ==","create_revision":"10","mod_revision":"11","version":"2","value":"e30="}},'
         b'{"type":"DELETE","kv":{"key":"L3gvMg==","mod_revision":"12"}}]}}'
@@ -344,7 +348,7 @@
         ("PUT", b"/x/1", b"{}", 11),
         ("DELETE", b"/x/2", b"", 12),
     ]
-    failed = etcd.read_news(
+    failed = etcd.read_watch_response(
         b'{"error":{"grpc_code":11,"code":11,"message":"mvcc: required revision has been compacted"}}'
     )
     assert isinstance(failed, Failed) and failed.compacted
