--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -134,7 +134,7 @@
         try:
             conversation = Conversation(endpoint, f"peattrestle/{self.label}")
             if isinstance(step, RequestRead):
-                stream.write(conversation.post(etcd.RANGE, etcd.range_of(self.prefix)))
+                stream.write(conversation.post(etcd.RANGE, etcd.range_request(self.prefix)))
                 result = yield from self.kernel.within(
                     self.answer_timeout,
                     self.read_answer(stream, conversation),
--- a/peattrestle/registry/etcd.py
+++ b/peattrestle/registry/etcd.py
@@ -89,7 +89,7 @@
     return b"\x00"
 
 
-def range_of(prefix: bytes) -> bytes:
+def range_request(prefix: bytes) -> bytes:
     """Returns the request body for all keys with the prefix as they are now."""
     return msgspec.json.encode({"key": prefix, "range_end": prefix_end(prefix)})
 
