--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -144,7 +144,7 @@
                     return self.follower.on_error(result, self.rng.random())
                 return self.follower.on_read(etcd.read_range(result))
             assert isinstance(step, RequestWatch)
-            stream.write(conversation.post(etcd.WATCH, etcd.watch_of(self.prefix, step.since)))
+            stream.write(conversation.post(etcd.WATCH, etcd.watch_request(self.prefix, step.since)))
             return (yield from self.follow_watch(stream, conversation))
         finally:
             stream.close()
--- a/peattrestle/registry/etcd.py
+++ b/peattrestle/registry/etcd.py
@@ -94,7 +94,7 @@
     return msgspec.json.encode({"key": prefix, "range_end": prefix_end(prefix)})
 
 
-def watch_of(prefix: bytes, since: int) -> bytes:
+def watch_request(prefix: bytes, since: int) -> bytes:
     """Returns the request body that watches keys with the prefix from revision `since` on, with progress
     notifications."""
     create = {
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -333,7 +333,7 @@
 
 
 def test_the_bytes_of_a_watch() -> None:
-    assert etcd.watch_of(b"/x/", 9) == (
+    assert etcd.watch_request(b"/x/", 9) == (
         b'{"create_request":{"key":"L3gv","range_end":"L3gw","start_revision":"9","progress_notify":true}}'
     )
     response = etcd.read_watch_response(
