--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -162,7 +162,7 @@
                     if len(body) > MAX_BODY_BYTES:
                         raise BadAnswer(f"answer longer than {MAX_BODY_BYTES} bytes")
                 elif isinstance(piece, End):
-                    return bytes(body) if status == 200 else etcd.read_failed(bytes(body))
+                    return bytes(body) if status == 200 else etcd.read_error(bytes(body))
             if not data:
                 raise Lost("connection closed before the end of the answer")
 
@@ -199,7 +199,7 @@
     def handle_watch_line(self, line: bytes, status: int) -> list[Action]:
         """Applies one message of the watch; returned steps end the watch. Raises BadAnswer."""
         if status != 200:
-            return self.follower.on_error(etcd.read_failed(line), self.rng.random())
+            return self.follower.on_error(etcd.read_error(line), self.rng.random())
         message = etcd.read_watch_response(line)
         if isinstance(message, etcd.Failed):
             return self.follower.on_error(message, self.rng.random())
--- a/peattrestle/registry/etcd.py
+++ b/peattrestle/registry/etcd.py
@@ -163,7 +163,7 @@
     return response
 
 
-def read_failed(data: bytes) -> Failed:
+def read_error(data: bytes) -> Failed:
     """Parses the body of an answer whose status is not 200. A body that can't be parsed becomes the message,
     cut to 200 bytes."""
     try:
