--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -20,7 +20,7 @@
     RequestWatch,
     Wait,
 )
-from peattrestle.registry.http import BadAnswer, Conversation, End, Head, Lines, Part
+from peattrestle.registry.http import BadAnswer, Conversation, End, Head, LineSplitter, Part
 from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, TimedOut
 
 Log = Callable[..., None]
@@ -168,7 +168,7 @@
 
     def follow_watch(self, stream: Stream, conversation: Conversation) -> Coroutine[list[Action]]:
         """Follows a watch until it ends; returns the next steps. Raises Lost, TimedOut, BadAnswer."""
-        lines, status = Lines(MAX_LINE_BYTES), 0
+        lines, status = LineSplitter(MAX_LINE_BYTES), 0
         while True:
             try:
                 data = yield from self.kernel.within(
--- a/peattrestle/registry/http.py
+++ b/peattrestle/registry/http.py
@@ -81,7 +81,7 @@
             raise BadAnswer(f"invalid HTTP: {error}") from None
 
 
-class Lines:
+class LineSplitter:
     """Splits a streamed body into lines, one JSON value each, as watches and leases send them.
 
     `max_line_bytes`: the maximum length of a line in bytes.
