--- a/peattrestle/rehearsal/script.py
+++ b/peattrestle/rehearsal/script.py
@@ -43,11 +43,11 @@
 class Fleet:
     """The exchanges, their gateways and their trunk groups. Durations in nanoseconds, here and below."""
 
-    exchanges: int = schema.whole(8, 2, 200, "exchanges, each with its agent and its gateway of callers")
+    exchanges: int = schema.integer(8, 2, 200, "exchanges, each with its agent and its gateway of callers")
     regions: tuple[str, ...] = schema.texts(
         ("north", "south"), (), "regions, to which the exchanges are assigned in turn"
     )
-    gateways: int = schema.whole(1, 1, 1000, "gateways of callers at each exchange, which share its calls")
+    gateways: int = schema.integer(1, 1, 1000, "gateways of callers at each exchange, which share its calls")
     calls_a_second: float = schema.number(
         10.0, 0.01, 1000, "calls a second that start at each exchange, as planned"
     )
@@ -90,7 +90,7 @@
         0.3, 0.01, 1, "a try is given up after this share of the abandon time"
     )
     patience_most: float = schema.number(0.4, 0.01, 1, "or up to this share")
-    redials: int = schema.whole(2, 0, 100, "further tries of a caller")
+    redials: int = schema.integer(2, 0, 100, "further tries of a caller")
     redial_least: int = schema.duration("300ms", "0ms", "10min", "shortest wait before a caller dials again")
     redial_most: int = schema.duration("1200ms", "0ms", "10min", "longest such wait")
     honours: float = schema.number(0.7, 0, 1, "share of refusals whose come-back time is respected")
@@ -155,10 +155,10 @@
 
     base: str = schema.text("", "another script, beside this one, for what is not set here")
     title: str = schema.text("rehearsal", "the report's heading")
-    seed: int = schema.whole(1, 0, 1 << 62, "seed of all random numbers")
+    seed: int = schema.integer(1, 0, 1 << 62, "seed of all random numbers")
     kernel: str = schema.choice("virtual", ("virtual", "epoll"), "the kernel it runs on by default")
     length: int = schema.duration("30s", "1s", "24h", "calls are offered for so long")
-    calls: int = schema.whole(0, 0, 10_000_000, "no more calls than this are offered; 0: no limit")
+    calls: int = schema.integer(0, 0, 10_000_000, "no more calls than this are offered; 0: no limit")
     fleet: Fleet = schema.block(Fleet, "the exchanges")
     callers: Callers = schema.block(Callers, "behaviour of callers")
     rules: Rules = schema.block(Rules, "parameters of the rules")
--- a/peattrestle/settings/agent.py
+++ b/peattrestle/settings/agent.py
@@ -49,7 +49,7 @@
     fall_time: int = schema.duration(
         "1s", "1ms", "1min", "duration of such an overload after which a cold exchange fails"
     )
-    route_try_limit: int = schema.whole(6, 1, 100, "maximum number of route tries for a call")
+    route_try_limit: int = schema.integer(6, 1, 100, "maximum number of route tries for a call")
     come_back_limit: int = schema.duration(
         "2s", "0ms", "10min", "longest retry-after time that callers are given"
     )
@@ -65,31 +65,31 @@
 class Limits:
     """Upper bounds on memory and on the rate of work."""
 
-    calls: int = schema.whole(
+    calls: int = schema.integer(
         20_000,
         1,
         1_000_000,
         "calls in progress, established ones included; further calls are refused at once",
     )
-    connections: int = schema.whole(
+    connections: int = schema.integer(
         1_000, 1, 100_000, "connections from gateways; further ones are closed at once"
     )
-    unread: int = schema.whole(
+    unread: int = schema.integer(
         1 << 20, 4096, 1 << 28, "bytes that a peer may leave unread before its connection is closed"
     )
-    message: int = schema.whole(16_384, 256, 65_531, "maximum size of a message in bytes")
+    message: int = schema.integer(16_384, 256, 65_531, "maximum size of a message in bytes")
     pending_after: int = schema.duration(
         "500ms", "1ms", "1min", "a call that has no answer after this gets a provisional (Pending) reply"
     )
-    open_requests: int = schema.whole(20_000, 1, 1_000_000, "unanswered requests to one peer")
-    kept_replies: int = schema.whole(
+    open_requests: int = schema.integer(20_000, 1, 1_000_000, "unanswered requests to one peer")
+    kept_replies: int = schema.integer(
         50_000, 100, 10_000_000, "replies kept to answer repeated requests of one peer"
     )
-    gateways: int = schema.whole(1_000, 1, 100_000, "gateways for which replies are kept")
-    restarts: int = schema.whole(
+    gateways: int = schema.integer(1_000, 1, 100_000, "gateways for which replies are kept")
+    restarts: int = schema.integer(
         50, 1, 100_000, "gateway restarts admitted per second; further ones are told when to retry"
     )
-    accepts: int = schema.whole(500, 1, 100_000, "connections accepted per second; further ones wait")
+    accepts: int = schema.integer(500, 1, 100_000, "connections accepted per second; further ones wait")
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -148,7 +148,7 @@
     """All settings of a call agent."""
 
     label: str = schema.name("", "the agent's name: its message identifier is <name>")
-    number: int = schema.whole(
+    number: int = schema.integer(
         schema.REQUIRED, 0, 1_000_000, "number of the exchange that the agent runs beside"
     )
     callers: str = schema.address(schema.REQUIRED, "address that callers' gateways connect to")
@@ -156,8 +156,8 @@
         "", "address of the server that pushes the exchange list; empty: the list is in a registry"
     )
     state: str = schema.text("", "folder where the last exchange list is kept; empty: it is not kept")
-    seed: int = schema.whole(0, 0, (1 << 62), "seed of all random numbers; 0: drawn at the start")
-    agents: int = schema.whole(
+    seed: int = schema.integer(0, 0, (1 << 62), "seed of all random numbers; 0: drawn at the start")
+    agents: int = schema.integer(
         schema.REQUIRED, 1, 10_000, "number of agents in the network, this one included"
     )
     orphan_time: int = schema.duration(
--- a/peattrestle/settings/schema.py
+++ b/peattrestle/settings/schema.py
@@ -77,7 +77,7 @@
     )
 
 
-def whole(default: Any, minimum: int, maximum: int, description: str) -> Any:
+def integer(default: Any, minimum: int, maximum: int, description: str) -> Any:
     """Declares an integer within bounds."""
     return _setting(SettingType("whole", description, minimum, maximum), default)
 
