--- a/peattrestle/rehearsal/script.py
+++ b/peattrestle/rehearsal/script.py
@@ -123,7 +123,7 @@
     kind: str = schema.choice(schema.REQUIRED, KINDS, "what happens")
     at: int = schema.duration(schema.REQUIRED, "0ms", "24h", "when it begins")
     length: int = schema.duration("5s", "0ms", "24h", "how long it lasts")
-    who: tuple[int, ...] = schema.wholes(
+    who: tuple[int, ...] = schema.integers(
         (), 0, 1000, "numbers of the exchanges concerned; empty: chosen at random"
     )
     share: float = schema.number(0.15, 0, 1, "share of the exchanges chosen where `who` is empty")
--- a/peattrestle/settings/schema.py
+++ b/peattrestle/settings/schema.py
@@ -112,7 +112,7 @@
     return _setting(SettingType("choice", description, choices=choices), default)
 
 
-def wholes(default: Any, minimum: int, maximum: int, description: str) -> Any:
+def integers(default: Any, minimum: int, maximum: int, description: str) -> Any:
     """Declares a list of integers within bounds."""
     return _setting(SettingType("wholes", description, minimum, maximum), default)
 
