--- a/peattrestle/rehearsal/script.py
+++ b/peattrestle/rehearsal/script.py
@@ -44,7 +44,7 @@
     """The exchanges, their gateways and their trunk groups. Durations in nanoseconds, here and below."""
 
     exchanges: int = schema.integer(8, 2, 200, "exchanges, each with its agent and its gateway of callers")
-    regions: tuple[str, ...] = schema.texts(
+    regions: tuple[str, ...] = schema.strings(
         ("north", "south"), (), "regions, to which the exchanges are assigned in turn"
     )
     gateways: int = schema.integer(1, 1, 1000, "gateways of callers at each exchange, which share its calls")
@@ -142,8 +142,8 @@
     no_leaks: bool = schema.flag(True, "no circuit is taken that no call accounts for")
     back_to: float = schema.number(0.0, 0, 1, "share of the service before the first trouble to come back to")
     back_within: int = schema.duration("30s", "1s", "1h", "and how soon after the last trouble has ended")
-    storms: tuple[str, ...] = schema.texts((), (), "kinds of storm that some agent must have seen")
-    no_storms: tuple[str, ...] = schema.texts((), (), "kinds that no agent may have seen")
+    storms: tuple[str, ...] = schema.strings((), (), "kinds of storm that some agent must have seen")
+    no_storms: tuple[str, ...] = schema.strings((), (), "kinds that no agent may have seen")
     pressed_most: float = schema.number(
         0.0, 0, 100, "set-ups in a second to any exchange over its capacity; 0: not checked"
     )
--- a/peattrestle/settings/agent.py
+++ b/peattrestle/settings/agent.py
@@ -126,7 +126,7 @@
 class Registry:
     """The key-value registry that has the exchange list."""
 
-    endpoints: tuple[str, ...] = schema.texts(
+    endpoints: tuple[str, ...] = schema.strings(
         (), (), "addresses of the registry's members, as host:port; one is used at a time"
     )
     prefix: str = schema.text("/peattrestle/exchanges/", "prefix of the exchanges' keys")
--- a/peattrestle/settings/schema.py
+++ b/peattrestle/settings/schema.py
@@ -117,7 +117,7 @@
     return _setting(SettingType("wholes", description, minimum, maximum), default)
 
 
-def texts(default: Any, choices: tuple[str, ...], description: str) -> Any:
+def strings(default: Any, choices: tuple[str, ...], description: str) -> Any:
     """Declares a list of strings, each one of `choices` unless that is empty."""
     return _setting(SettingType("texts", description, choices=choices), default)
 
