--- a/benchmarks/agent_load.py
+++ b/benchmarks/agent_load.py
@@ -25,9 +25,9 @@
 
 from peattrestle.agent.agent import CallAgent
 from peattrestle.h248 import package
-from peattrestle.h248.package import Outcome, SetUpAsked
+from peattrestle.h248.package import Outcome, SetUpRequest
 from peattrestle.h248.session import Session
-from peattrestle.h248.transactions import Answered, New, Transactions
+from peattrestle.h248.transactions import Answered, NewRequest, Transactions
 from peattrestle.rehearsal.hosts import free_address
 from peattrestle.runtime import Coroutine, Stream
 from peattrestle.runtime.epoll import EpollKernel
@@ -107,10 +107,10 @@
         while data := (yield from stream.read()):
             self.bytes += len(data)
             for event in session.feed(self.kernel.now(), data):
-                if isinstance(event, New):
+                if isinstance(event, NewRequest):
                     self.answer(session, event)
 
-    def answer(self, session: Session, event: New) -> None:
+    def answer(self, session: Session, event: NewRequest) -> None:
         """Replies to an Add with a new context and to any other command with success."""
         number, action = event.request.id, event.request.actions[0]
         command = action.commands[0]
@@ -138,7 +138,9 @@
         while (elapsed := self.kernel.now() - started) < seconds * SECOND:
             while self.sent < elapsed * self.rate / SECOND:
                 self.sent += 1
-                request = SetUpAsked(f"c/{self.sent}", "line", 1, 3 * SECOND, f"n{self.sent}", reference="r")
+                request = SetUpRequest(
+                    f"c/{self.sent}", "line", 1, 3 * SECOND, f"n{self.sent}", reference="r"
+                )
                 attachment = (request.termination, self.kernel.now())
                 session.request(attachment, lambda n, request=request: package.add_text(n, request))  # type: ignore[misc]
             yield from self.kernel.sleep(2_000_000)
--- a/benchmarks/module_size.py
+++ b/benchmarks/module_size.py
@@ -32,9 +32,11 @@
     }
     controller = Controller(7, settings)
     entries = tuple(api.Entry(f"x{number}", number, "ready") for number in range(exchanges))
-    controller.handle(0, [api.Listed("full", entries)])
+    controller.handle(0, [api.ListUpdated("full", entries)])
     load = {"free": 4000, "size": 4000}
-    controller.handle(0, [api.Reported(f"x{number}", "served", 0, load) for number in range(1, exchanges)])
+    controller.handle(
+        0, [api.LoadReported(f"x{number}", "served", 0, load) for number in range(1, exchanges)]
+    )
     started = time.perf_counter()
     for call in range(calls):
         now = call * MS
@@ -46,7 +48,7 @@
         controller.handle(
             now + MS // 2,
             [
-                api.Stood(call, f"x{destination}", MS // 2, 0),
+                api.TryAnswered(call, f"x{destination}", MS // 2, 0),
                 api.TryEnded(call, f"x{destination}", "served", MS // 2, 0, True, load=load),
             ],
         )
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -32,7 +32,7 @@
 from peattrestle.rehearsal import script as scripts
 from peattrestle.rehearsal.play import Player, Result
 from peattrestle.standin.callers import service
-from peattrestle.storms import shares, sight, watch
+from peattrestle.storms import gateway_admission, retry_detection, storm_detection
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -44,52 +44,52 @@
 def without_fresh_first() -> None:
     """First tries get no priority over retries."""
 
-    def revenue_only(self: Any, asked: api.CallArrived, seen: Any) -> float:
-        return float(self.revenue.get(asked.bearer_type, 1.0) / self.mean_revenue)
+    def revenue_only(self: Any, arrival: api.CallArrived, attempt: Any) -> float:
+        return float(self.revenue.get(arrival.bearer_type, 1.0) / self.mean_revenue)
 
-    control.Home.worth = revenue_only  # type: ignore[method-assign]
+    control.CallRouter.relative_revenue = revenue_only  # type: ignore[method-assign]
 
 
 def without_slots() -> None:
     """Refused callers all get the same wait, a third of the answer target."""
 
-    def fixed_wait(self: Any, asked: Any, seen: Any, most: int) -> int:
+    def fixed_wait(self: Any, arrival: Any, attempt: Any, max_delay: int) -> int:
         return int(self.target // 3)
 
-    control.Home.come_back = fixed_wait  # type: ignore[method-assign]
+    control.CallRouter.retry_delay = fixed_wait  # type: ignore[method-assign]
 
 
 def without_door() -> None:
     """Gateways are not held to their shares."""
-    shares.Demand.divide = lambda self, now, share: None  # type: ignore[method-assign]
+    gateway_admission.Demand.set_share = lambda self, now, share: None  # type: ignore[method-assign]
 
 
 def without_notices() -> None:
     """Gateways are not notified of their limits."""
-    shares.Door.notices = lambda self: {}  # type: ignore[method-assign]
+    gateway_admission.GatewayAdmission.limits_to_announce = lambda self: {}  # type: ignore[method-assign]
 
 
 def without_gate() -> None:
     """Gateways may register and restart at any rate."""
-    agent_storms.Storms.restart_after = lambda self, asker: 0  # type: ignore[method-assign]
+    agent_storms.Storms.restart_after = lambda self, requester: 0  # type: ignore[method-assign]
     agent_storms.Storms.waiting_delay = lambda self, known: 0  # type: ignore[method-assign]
 
 
 def without_slow_start() -> None:
     """The agent's own exchange gets an unlimited window as soon as it is listed."""
-    original = control.Exchange.told
+    original = control.Exchange.apply_list_entry
 
     def open_window(self: Any, entry: api.Entry) -> None:
         original(self, entry)
-        if self.number == self.home.own_number and not self.out:
+        if self.number == self.router.own_number and not self.outstanding:
             self.window = float("inf")
 
-    control.Exchange.told = open_window  # type: ignore[method-assign]
+    control.Exchange.apply_list_entry = open_window  # type: ignore[method-assign]
 
 
 def without_budget() -> None:
     """Each first route try allows a whole further one, not only a share of it."""
-    control.Home.FURTHER = 1.0
+    control.CallRouter.RETRY_CREDIT = 1.0
 
 
 PARTS = {
@@ -112,7 +112,7 @@
 def no_advice() -> None:
     """Disables all parts; refusals tell callers no wait."""
     off()
-    control.Home.come_back = lambda self, asked, seen, most: 0  # type: ignore[method-assign]
+    control.CallRouter.retry_delay = lambda self, arrival, attempt, max_delay: 0  # type: ignore[method-assign]
 
 
 def waits_at_callers() -> None:
@@ -353,11 +353,15 @@
 def cost() -> None:
     """Time that storm detection and gateway admission take for one call."""
     for gateways, held in ((1, 0), (1, 20_000), (100, 20_000), (1000, 20_000)):
-        detector, storm_watch, admission = sight.Sight(9 * SECOND), watch.Watch(), shares.Door()
+        detector, storm_watch, admission = (
+            retry_detection.RetryDetector(9 * SECOND),
+            storm_detection.StormDetector(),
+            gateway_admission.GatewayAdmission(),
+        )
         rng = random.Random(1)
         for number in range(held):
             key = (f"<g{number % gateways}>", "line", 5, f"n{number}")
-            detector.unserved(0, key, detector.asked(0, key, False, False), 500 * MS)
+            detector.record_unserved(0, key, detector.classify(0, key, False, False), 500 * MS)
         events, best_seconds = 20_000, 1e9
         for _ in range(3):
             started = time.perf_counter()
@@ -365,13 +369,13 @@
                 now = number * MS // 10
                 name = f"<g{number % gateways}>"
                 key = (name, "line", 5, f"n{number % 40_000}")
-                seen = detector.asked(now, key, False, False)
-                storm_watch.call(now, seen)
-                if not admission.lets(now, name, 1.0, rng.random()) or number % 2:
-                    detector.unserved(now, key, seen, 500 * MS)
-                    admission.refused(now)
+                attempt = detector.classify(now, key, False, False)
+                storm_watch.count_call(now, attempt)
+                if not admission.admits(now, name, 1.0, rng.random()) or number % 2:
+                    detector.record_unserved(now, key, attempt, 500 * MS)
+                    admission.count_refused(now)
                 else:
-                    admission.stood(now)
+                    admission.count_answered(now)
             best_seconds = min(best_seconds, time.perf_counter() - started)
         click.echo(f"{gateways:5d} gateways, {held:6d} kept: {best_seconds / events * 1e6:.1f} us a call")
 
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -29,15 +29,21 @@
 from peattrestle.agent.registry import Registry
 from peattrestle.agent.requester import Requester, RequesterTable
 from peattrestle.agent.storms import Storms
-from peattrestle.calls.core import OPEN, REFUSED, STOOD, Core, Final, Log, Unsent
+from peattrestle.calls.core import ANSWERED, OPEN, REFUSED, Core, Final, Log, Unsent
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.h248 import package
-from peattrestle.h248.package import BadValue, Outcome, SetUpAsked
-from peattrestle.h248.session import BadPeer, Garbled, Session, SessionEvent
+from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
+from peattrestle.h248.session import BadPeer, MalformedMessage, Session, SessionEvent
 from peattrestle.h248.text import Action, Command, Reply, Request
-from peattrestle.h248.transactions import Answered, New, Stray, TooManyOpenRequests, Transactions
-from peattrestle.membership.roll import Told
+from peattrestle.h248.transactions import (
+    Answered,
+    NewRequest,
+    TooManyOpenRequests,
+    Transactions,
+    UnknownTransaction,
+)
+from peattrestle.membership.exchange_list import MembershipUpdate
 from peattrestle.runtime import Coroutine, Event, Kernel, Listener, Lost, Refused, Stream
 from peattrestle.settings.agent import Agent as Settings
 
@@ -78,7 +84,7 @@
         )
         self.settings = settings
         self.store = store or listing.Store()
-        self.retry_detector = self.controller.sight
+        self.retry_detector = self.controller.retry_detector
         self.mid = f"<{settings.label}>"
         self.started_at = kernel.now()
         # The start time keeps termination names and transaction ids of this run apart from an earlier run's.
@@ -92,7 +98,7 @@
         self.terminations: dict[str, RouteTry] = {}
         self.links: dict[str, Link] = {}
         self.entries: dict[str, listing.Row] = {}
-        self.numbers: dict[int, str] = {}
+        self.exchange_by_number: dict[int, str] = {}
         self.groups: dict[int, package.GroupStatus] = {}
         self.connection_count = 0
         self.tracing = settings.log_level == "debug"
@@ -185,19 +191,19 @@
                 if requester.session is None and requester.calls and requester.disconnected_at < cutoff:
                     for call in list(requester.calls.values()):
                         self.counts.add("orphans_released")
-                        self.finish(call)
+                        self.release_call(call)
 
-    def worded(self, call: Call, final: Final) -> Outcome:
+    def to_outcome(self, call: Call, final: Final) -> Outcome:
         """The final answer as an H.248 outcome."""
-        if final.kind == STOOD:
+        if final.kind == ANSWERED:
             return Outcome(0, str(call.id))
         if final.kind != REFUSED:
             return INTERNAL_ERROR if final.own_fault else Outcome(package.FAILED, text="failed")
         cause = ""
-        if call.asker is self.own_exchange:
+        if call.requester is self.own_exchange:
             # In transit the previous exchange is told what was full: this tandem, or a hop beyond it.
             cause = "beyond_full" if call.cause == "processor_full" else "turned_back"
-        return Outcome(package.REFUSED, text="refused", come_back=final.come_back, cause=cause)
+        return Outcome(package.REFUSED, text="refused", retry_after=final.retry_after, cause=cause)
 
     # Incoming calls.
 
@@ -230,7 +236,7 @@
                     "$",
                     "Add",
                     command.termination,
-                    (package.TWICE, "the termination is in a context"),
+                    (package.ALREADY_IN_CONTEXT, "the termination is in a context"),
                 ),
             )
             return
@@ -246,7 +252,7 @@
                     Outcome(
                         package.REFUSED,
                         text="shutting down" if self.draining else "as many calls as can be held",
-                        come_back=self.settings.rules.come_back_limit,
+                        retry_after=self.settings.rules.come_back_limit,
                     ),
                 ),
             )
@@ -255,14 +261,14 @@
             self.next_id(),
             now,
             now + request.patience,
-            asker=requester,
+            requester=requester,
             transaction=transaction_id,
-            asked=request,
+            request=request,
         )
         if not transit:
             retry_key = (requester.name, request.bearer_type, request.destination, request.number)
-            call.seen = self.retry_detector.asked(now, retry_key, request.repeat, request.cut_before)
-            self.storms.watch.call(now, call.seen, requester.name)
+            call.seen = self.retry_detector.classify(now, retry_key, request.repeat, request.cut_before)
+            self.storms.watch.count_call(now, call.seen, requester.name)
         requester.calls[request.termination] = call
         call.pending_timer = self.kernel.at(
             now + self.settings.limits.pending_after, lambda: self.send_pending(call)
@@ -283,15 +289,17 @@
             "" if transit else requester.name,
             seen=call.seen,
         )
-        if not transit and not self.storms.admit(requester.name, self.controller.worth(arrived, call.seen)):
+        if not transit and not self.storms.admit(
+            requester.name, self.controller.relative_revenue(arrived, call.seen)
+        ):
             call.over_share = True
-            arrived = replace(arrived, held=True)
-        self.take(call, arrived)
+            arrived = replace(arrived, over_share=True)
+        self.accept_call(call, arrived)
 
     def send_pending(self, call: Call) -> None:
         """Sends H.248's Pending, once for each call, where the final answer takes longer."""
-        if call.state == OPEN and call.asker.session is not None:
-            call.asker.session.send(f"Pending={call.transaction}{{}}")
+        if call.state == OPEN and call.requester.session is not None:
+            call.requester.session.send(f"Pending={call.transaction}{{}}")
 
     def handle_subtract(
         self, requester: Requester, transaction_id: int, action: Action, command: Command
@@ -320,7 +328,7 @@
             self.caller_left(call)
         else:
             self.counts.add(prefix + "released")
-            self.finish(call)
+            self.release_call(call)
 
     def caller_left(self, call: Call) -> None:
         """Ends an open call without sending a final answer.
@@ -328,29 +336,29 @@
         The transaction is closed as failed, which a repeated request is answered with.
         """
         super().caller_left(call)
-        call.asker.transactions.answer(
+        call.requester.transactions.answer(
             call.transaction,
             package.outcome_text(
-                call.transaction, call.asked.termination, Outcome(package.FAILED, text="the caller left")
+                call.transaction, call.request.termination, Outcome(package.FAILED, text="the caller left")
             ),
         )
 
-    def dropped(self, call: Call) -> None:
+    def on_call_removed(self, call: Call) -> None:
         """Forgets the call's Pending timer and its termination."""
         if call.pending_timer is not None:
             call.pending_timer.cancel()
-        call.asker.calls.pop(call.asked.termination, None)
+        call.requester.calls.pop(call.request.termination, None)
 
-    def named(self, call: Call) -> str:
+    def reference_of(self, call: Call) -> str:
         """The caller's reference of the call, for the log."""
-        return call.asked.reference
+        return call.request.reference
 
     # Route tries.
 
-    def launch(self, call: Call, action: api.SetUp, number: int) -> RouteTry | Unsent:
+    def send_set_up(self, call: Call, action: api.SetUp, number: int) -> RouteTry | Unsent:
         """Sends the set-up of route try `number` to an exchange, or returns why it can't be sent."""
-        request, link = call.asked, self.links.get(action.exchange)
-        own_link = self.links.get(self.numbers.get(self.settings.number, ""))
+        request, link = call.request, self.links.get(action.exchange)
+        own_link = self.links.get(self.exchange_by_number.get(self.settings.number, ""))
         if own_link is not None and not own_link.up:
             # Every call starts at the agent's own exchange, so without it nothing can be set up.
             return Unsent("moot", "processor_full")
@@ -367,7 +375,7 @@
         row = self.entries[action.exchange]
         sent = link.set_up(
             route_try,
-            SetUpAsked(
+            SetUpRequest(
                 route_try.termination,
                 request.bearer_type,
                 request.destination,
@@ -387,10 +395,10 @@
         self.terminations[route_try.termination] = route_try
         return route_try
 
-    def end_launched(self, route_try: RouteTry, tell: bool) -> None:
+    def release_try(self, route_try: RouteTry, tell: bool) -> None:
         """Forgets a route try; `tell`: the exchange is sent a Subtract, as it may hold a circuit for it."""
         if route_try.state == "out":
-            route_try.link.transactions.give_up(route_try.transaction)
+            route_try.link.transactions.close(route_try.transaction)
         self.terminations.pop(route_try.termination, None)
         if tell:
             route_try.link.release(route_try.context, route_try.termination, route_try.call.id)
@@ -399,25 +407,25 @@
         """Counts the final answer and sends it to the requester."""
         if call.pending_timer is not None:
             call.pending_timer.cancel()
-        self.counts.add(("transit_" if call.asker is self.own_exchange else "") + final.kind)
-        if call.asker is not self.own_exchange and final.kind == STOOD:
-            self.storms.door.stood(self.kernel.now())
-        elif call.asker is not self.own_exchange and not call.over_share:
-            self.storms.door.refused(self.kernel.now())
-        call.asker.reply(
+        self.counts.add(("transit_" if call.requester is self.own_exchange else "") + final.kind)
+        if call.requester is not self.own_exchange and final.kind == ANSWERED:
+            self.storms.admission.count_answered(self.kernel.now())
+        elif call.requester is not self.own_exchange and not call.over_share:
+            self.storms.admission.count_refused(self.kernel.now())
+        call.requester.reply(
             call.transaction,
-            package.outcome_text(call.transaction, call.asked.termination, self.worded(call, final)),
+            package.outcome_text(call.transaction, call.request.termination, self.to_outcome(call, final)),
         )
 
-    def misanswered(self, call: Call) -> bool:
+    def on_answer_refused(self, call: Call) -> bool:
         """Closes the call's transaction as failed, without sending the reply.
 
         False where it had been answered already.
         """
-        if not call.asker.transactions.is_unanswered(call.transaction):
+        if not call.requester.transactions.is_unanswered(call.transaction):
             return False
-        call.asker.transactions.answer(
-            call.transaction, package.outcome_text(call.transaction, call.asked.termination, INTERNAL_ERROR)
+        call.requester.transactions.answer(
+            call.transaction, package.outcome_text(call.transaction, call.request.termination, INTERNAL_ERROR)
         )
         return True
 
@@ -440,9 +448,9 @@
             return
         now = self.kernel.now()
         row.age = int(age.value or 0)
-        self.guard.told(now, row.exchange, row.state, now - row.age)
+        self.guard.on_exchange_state(now, row.exchange, row.state, now - row.age)
         entry = api.Entry(row.exchange, row.number, row.state, now - row.age, row.zone)
-        self.post(api.Listed("delta", (entry,)))
+        self.post(api.ListUpdated("delta", (entry,)))
         # The reply may have been delayed, so the exchange may have started as early as the time of the hello
         # less the age. Only calls set up before that are known to be gone.
         self.drop_forgotten_calls(link, link.hello_sent_at - row.age)
@@ -459,11 +467,11 @@
         if self.is_own(link.exchange):
             for call in [call for call in self.own_exchange.calls.values() if call.arrived < started_at]:
                 self.counts.add("orphans_released")
-                self.finish(call)
+                self.release_call(call)
 
     def is_own(self, exchange: str) -> bool:
         """Whether this is the exchange that the agent runs beside."""
-        return self.numbers.get(self.settings.number) == exchange
+        return self.exchange_by_number.get(self.settings.number) == exchange
 
     def on_link_lost(self, link: Link, route_tries: list[RouteTry], reason: str) -> None:
         """Ends the lost link's unanswered route tries; for the own exchange also its open transit calls."""
@@ -471,7 +479,7 @@
         for route_try in route_tries:
             if route_try.state == "out":
                 self.counts.add("resets")
-                self.try_over(route_try, "reset", tell=True, cut_off=True)
+                self.fail_try(route_try, "reset", tell=True, cut_off=True)
         if self.is_own(link.exchange):
             self.own_exchange.session = self.own_exchange.stream = None
             self.own_exchange.disconnected_at = self.kernel.now()
@@ -485,18 +493,18 @@
             case Answered(RouteTry() as route_try, reply):
                 self.on_add_reply(route_try, package.read_outcome(reply))
             case Answered(Release() as release, reply):
-                link.on_release_reply(release, package.refusal(reply))
+                link.on_release_reply(release, package.reply_error_code(reply))
                 found = package.first_command(reply.actions)
                 if found is not None:
                     statistics = found[1].find("Statistics")
                     load = package.read_load(statistics.items or ()) if statistics else {}
                     if load:
-                        self.post(api.Reported(link.exchange, "served", 0, load))
+                        self.post(api.LoadReported(link.exchange, "served", 0, load))
             case Answered("hello", reply):
                 self.on_hello_reply(link, reply)
-            case New(request):
+            case NewRequest(request):
                 self.handle_exchange_request(link, request.id, request.actions)
-            case Stray(transaction_id):
+            case UnknownTransaction(transaction_id):
                 self.counts.add("stray_replies")
                 self.log(
                     "debug",
@@ -504,7 +512,7 @@
                     exchange=link.exchange,
                     transaction=transaction_id,
                 )
-            case Garbled(error):
+            case MalformedMessage(error):
                 self.counts.add("garbled")
                 self.log("warning", "malformed message", exchange=link.exchange, fault=str(error))
             case _:
@@ -516,7 +524,7 @@
             return
         if outcome.code:
             result, cause = mapping.result_of(outcome)
-            self.try_over(
+            self.fail_try(
                 route_try,
                 result,
                 tell=False,
@@ -527,7 +535,7 @@
             )
             return
         route_try.context = outcome.context
-        self.stands(route_try, outcome.load)
+        self.on_answered(route_try, outcome.load)
 
     def handle_exchange_request(self, link: Link, transaction_id: int, actions: list[Action]) -> None:
         """Handles a request of an exchange: events, and from the own exchange also calls in transit."""
@@ -576,7 +584,7 @@
             if route_try is None:
                 return
             if route_try.state == "out":
-                self.try_over(route_try, "reset", tell=True, cut_off=True)
+                self.fail_try(route_try, "reset", tell=True, cut_off=True)
             elif route_try.state == "stands":
                 self.on_call_cut(route_try)
 
@@ -585,21 +593,21 @@
         call = route_try.call
         self.counts.add("cut")
         if call.seen is not None:
-            self.storms.watch.cut(self.kernel.now(), call.asker.name)
+            self.storms.watch.record_cut(self.kernel.now(), call.requester.name)
         self.end_try(route_try, tell=False)
         self.forget(call)
         self.post(api.TryEnded(call.id, route_try.exchange, "reset", 0, route_try.number, True))
-        call.asker.notify(
+        call.requester.notify(
             lambda transaction_id: package.notify_text(
-                transaction_id, str(call.id), call.asked.termination, ["ptc/cut"]
+                transaction_id, str(call.id), call.request.termination, ["ptc/cut"]
             )
         )
 
     def report_group(self, group: package.GroupStatus) -> None:
         """Reports a trunk group's circuits to the controller and updates the guard's capacity estimate."""
-        exchange = self.numbers.get(group.to)
+        exchange = self.exchange_by_number.get(group.to)
         if exchange is not None and group.to != self.settings.number:
-            self.post(api.Reported(exchange, "served", 0, {"free": group.free, "size": group.size}))
+            self.post(api.LoadReported(exchange, "served", 0, {"free": group.free, "size": group.size}))
             circuits = sum(other_group.size for other_group in self.groups.values())
             self.guard.carried = circuits / self._max_holding_time
 
@@ -624,10 +632,10 @@
         try:
             while data := (yield from stream.read()):
                 for event in session.feed(self.kernel.now(), data):
-                    assert requester is not None or isinstance(event, Garbled)
-                    if isinstance(event, New) and requester is not None:
+                    assert requester is not None or isinstance(event, MalformedMessage)
+                    if isinstance(event, NewRequest) and requester is not None:
                         self.handle_gateway_request(requester, event.request.id, event.request.actions)
-                    elif isinstance(event, Garbled):
+                    elif isinstance(event, MalformedMessage):
                         self.counts.add("garbled")
                         self.log("warning", "malformed message", gateway=stream.peer, fault=str(event.fault))
                 if stream.unsent > limits.unread:
@@ -722,7 +730,7 @@
         if change.method == "Restart":
             for call in list(requester.calls.values()):  # a restarted gateway has lost its calls
                 self.counts.add("orphans_released")
-                self.finish(call)
+                self.release_call(call)
             requester.transactions.peer_restarted()
             requester.transactions.receive(self.kernel.now(), Request(transaction_id, []))
         requester.reply(
@@ -789,7 +797,7 @@
             registry_settings.retry_most,
         )
 
-    def on_registry_update(self, is_full: bool, update: Told) -> None:
+    def on_registry_update(self, is_full: bool, update: MembershipUpdate) -> None:
         """Applies an update of the registry as rows of the exchange list.
 
         The start time is wall-clock time, which may be adjusted: an impossible age counts as unknown.
@@ -811,29 +819,29 @@
         """
         now = self.kernel.now()
         if form == "failed":
-            self.post(api.Listed("failed"))
+            self.post(api.ListUpdated("failed"))
             return
         if form in ("full", "cached"):
             present = {row.exchange for row in rows}
             for name, row in self.entries.items():
                 if name not in present and row.state != "gone":
                     row.state = "gone"
-                    self.guard.told(now, name, "gone", 0)
+                    self.guard.on_exchange_state(now, name, "gone", 0)
         entries = []
         for row in rows:
             started = now - row.age if row.age >= 0 else 0
             entries.append(api.Entry(row.exchange, row.number, row.state, started, row.zone))
             self.entries[row.exchange] = row
-            if row.state == "ready" or row.number not in self.numbers:
-                self.numbers[row.number] = row.exchange
-            self.guard.told(now, row.exchange, row.state, started)
-        self.post(api.Listed(form, tuple(entries)))
+            if row.state == "ready" or row.number not in self.exchange_by_number:
+                self.exchange_by_number[row.number] = row.exchange
+            self.guard.on_exchange_state(now, row.exchange, row.state, started)
+        self.post(api.ListUpdated(form, tuple(entries)))
         for name, row in list(self.entries.items()):
             link = self.links.get(name)
             if row.state == "gone":
                 # The link stays until another exchange has the number and no call stands over it (see
                 # `drop_link`); each update of the list checks again.
-                if link is not None and self.numbers.get(row.number) != name:
+                if link is not None and self.exchange_by_number.get(row.number) != name:
                     self.drop_link(name, link)
             elif row.address and link is None:
                 self.links[name] = Link(
--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from peattrestle.calls import core
-from peattrestle.h248.package import SetUpAsked
+from peattrestle.h248.package import SetUpRequest
 from peattrestle.runtime import Timer
-from peattrestle.storms.sight import Seen
+from peattrestle.storms.retry_detection import CallerAttempt
 
 if TYPE_CHECKING:
     from peattrestle.agent.link import Link
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Call(core.Call[RouteTry]):
-    """A call requested by `asker`; the reply to `transaction` is the call's one final answer.
+    """A call requested by `requester`; the reply to `transaction` is the call's one final answer.
 
     `pending_timer` sends H.248's Pending where the answer takes longer.
     """
 
-    asker: Requester
+    requester: Requester
     transaction: int
-    asked: SetUpAsked
+    request: SetUpRequest
     pending_timer: Timer | None = None
     over_share: bool = False  # not admitted: its gateway is over its share
-    seen: Seen | None = None  # first try or retry; None in transit
+    seen: CallerAttempt | None = None  # first try or retry; None in transit
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -9,10 +9,18 @@
 
 from collections.abc import Callable
 
-from peattrestle.membership.roll import Roll, Told
+from peattrestle.membership.exchange_list import MembershipUpdate, Roll
 from peattrestle.registry import etcd
-from peattrestle.registry.follower import Apply, Do, Follower, Read, Vouch, Wait, Watch
-from peattrestle.registry.http import BadAnswer, Conversation, End, Head, Lines, Part
+from peattrestle.registry.follower import (
+    Action,
+    Apply,
+    ConfirmUnchanged,
+    Follower,
+    RequestRead,
+    RequestWatch,
+    Wait,
+)
+from peattrestle.registry.http import BadAnswer, Conversation, End, Head, LineSplitter, Part
 from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, TimedOut
 
 Log = Callable[..., None]
@@ -36,7 +44,7 @@
         kernel: Kernel,
         endpoints: tuple[str, ...],
         prefix: str,
-        on_update: Callable[[bool, Told], None],
+        on_update: Callable[[bool, MembershipUpdate], None],
         log: Log,
         count: Callable[[str], None],
         label: str,
@@ -60,7 +68,7 @@
         # Jitter: agents that start together should not read at the same time.
         yield from self.kernel.sleep(self.rng.randint(0, self.follower.least))
         self.kernel.spawn(self.publish_due_changes(), "roll")
-        steps = self.follower.due()
+        steps = self.follower.start_request()
         while True:
             remote_step = self.run_local_steps(steps)
             try:
@@ -71,7 +79,7 @@
                 self.count("registry_bad_answers")
                 steps = self.on_failure(f"bad answer: {error}")
 
-    def on_failure(self, reason: str) -> list[Do]:
+    def on_failure(self, reason: str) -> list[Action]:
         """Logs a failure and moves on to the next endpoint; returns the follower's next steps."""
         self.log(
             "warning",
@@ -81,19 +89,19 @@
             revision=self.follower.revision,
         )
         self.endpoints.append(self.endpoints.pop(0))
-        return self.follower.broken(self.rng.random())
+        return self.follower.on_connection_lost(self.rng.random())
 
-    def run_local_steps(self, steps: list[Do]) -> Do:
+    def run_local_steps(self, steps: list[Action]) -> Action:
         """Applies the steps that need no connection, and returns the last one, which always does."""
         for step in steps[:-1]:
             self.apply_step(step)
         return steps[-1]
 
-    def apply_step(self, step: Do) -> None:
+    def apply_step(self, step: Action) -> None:
         """Applies changes, or the confirmation that nothing has changed, to the roll."""
         now = self.kernel.now()
-        if isinstance(step, Vouch):
-            self.roll.vouch(now)
+        if isinstance(step, ConfirmUnchanged):
+            self.roll.confirm(now)
         elif isinstance(step, Apply):
             if step.strange:
                 self.log("warning", "connected to another registry than before", why=step.strange)
@@ -101,7 +109,7 @@
             self.publish(self.roll.apply(now, changes), step.whole and not self.initial_read_done)
             self.initial_read_done |= step.whole
 
-    def publish(self, update: Told, is_full: bool) -> None:
+    def publish(self, update: MembershipUpdate, is_full: bool) -> None:
         """Logs the roll's warnings and passes on its changes, if any."""
         for warning in update.notes:
             self.log("warning", warning, origin="registry")
@@ -114,29 +122,29 @@
             yield from self.kernel.sleep(250_000_000)
             due = self.roll.due()
             if 0 <= due <= self.kernel.now():
-                self.publish(self.roll.look(self.kernel.now()), False)
+                self.publish(self.roll.advance(self.kernel.now()), False)
 
-    def perform_remote_step(self, step: Do) -> Coroutine[list[Do]]:
+    def perform_remote_step(self, step: Action) -> Coroutine[list[Action]]:
         """Waits, reads or watches; returns the next steps. Raises Refused, Lost, TimedOut, BadAnswer."""
         if isinstance(step, Wait):
             yield from self.kernel.sleep(step.length)
-            return self.follower.due()
+            return self.follower.start_request()
         endpoint = self.endpoints[0]
         stream = yield from self.kernel.connect(endpoint, self.dial_timeout, self.label)
         try:
             conversation = Conversation(endpoint, f"peattrestle/{self.label}")
-            if isinstance(step, Read):
-                stream.write(conversation.post(etcd.RANGE, etcd.range_of(self.prefix)))
+            if isinstance(step, RequestRead):
+                stream.write(conversation.post(etcd.RANGE, etcd.range_request(self.prefix)))
                 result = yield from self.kernel.within(
                     self.answer_timeout,
                     self.read_answer(stream, conversation),
                     "timed out waiting for the registry's answer",
                 )
                 if isinstance(result, etcd.Failed):
-                    return self.follower.failed(result, self.rng.random())
-                return self.follower.read(etcd.read_range(result))
-            assert isinstance(step, Watch)
-            stream.write(conversation.post(etcd.WATCH, etcd.watch_of(self.prefix, step.since)))
+                    return self.follower.on_error(result, self.rng.random())
+                return self.follower.on_read(etcd.read_range(result))
+            assert isinstance(step, RequestWatch)
+            stream.write(conversation.post(etcd.WATCH, etcd.watch_request(self.prefix, step.since)))
             return (yield from self.follow_watch(stream, conversation))
         finally:
             stream.close()
@@ -154,13 +162,13 @@
                     if len(body) > MAX_BODY_BYTES:
                         raise BadAnswer(f"answer longer than {MAX_BODY_BYTES} bytes")
                 elif isinstance(piece, End):
-                    return bytes(body) if status == 200 else etcd.read_failed(bytes(body))
+                    return bytes(body) if status == 200 else etcd.read_error(bytes(body))
             if not data:
                 raise Lost("connection closed before the end of the answer")
 
-    def follow_watch(self, stream: Stream, conversation: Conversation) -> Coroutine[list[Do]]:
+    def follow_watch(self, stream: Stream, conversation: Conversation) -> Coroutine[list[Action]]:
         """Follows a watch until it ends; returns the next steps. Raises Lost, TimedOut, BadAnswer."""
-        lines, status = Lines(MAX_LINE_BYTES), 0
+        lines, status = LineSplitter(MAX_LINE_BYTES), 0
         while True:
             try:
                 data = yield from self.kernel.within(
@@ -170,7 +178,7 @@
                 if status != 200:
                     raise
                 self.count("registry_quiet")
-                return self.follower.due()
+                return self.follower.start_request()
             for piece in conversation.feed(data):
                 if isinstance(piece, Head):
                     status = piece.status
@@ -188,16 +196,16 @@
             if not data:
                 raise Lost("connection closed during the watch")
 
-    def handle_watch_line(self, line: bytes, status: int) -> list[Do]:
+    def handle_watch_line(self, line: bytes, status: int) -> list[Action]:
         """Applies one message of the watch; returned steps end the watch. Raises BadAnswer."""
         if status != 200:
-            return self.follower.failed(etcd.read_failed(line), self.rng.random())
-        message = etcd.read_news(line)
+            return self.follower.on_error(etcd.read_error(line), self.rng.random())
+        message = etcd.read_watch_response(line)
         if isinstance(message, etcd.Failed):
-            return self.follower.failed(message, self.rng.random())
-        steps = self.follower.news(message, self.rng.random())
+            return self.follower.on_error(message, self.rng.random())
+        steps = self.follower.on_watch_message(message, self.rng.random())
         for index, step in enumerate(steps):
-            if isinstance(step, Read | Watch | Wait):
+            if isinstance(step, RequestRead | RequestWatch | Wait):
                 return steps[index:]
             self.apply_step(step)
         return []
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -5,10 +5,10 @@
 package `peattrestle.storms`:
 
 - whether a storm has started or ended, each logged with its evidence and counted (`Watch`);
-- whether a gateway's call is admitted or exceeds the gateway's fair share of the capacity (`Door`);
+- whether a gateway's call is admitted or exceeds the gateway's fair share (`GatewayAdmission`);
 - which gateways are sent a notice of the rate that they may offer, and when it is renewed or lifted
   (`Notices`);
-- when a gateway may restart, and the rate at which connections are accepted (`restarts.Gate`).
+- when a gateway may restart, and the rate at which connections are accepted (`restarts.RestartPacer`).
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.settings.agent import Limits
 from peattrestle.storms import restarts
+from peattrestle.storms.gateway_admission import GatewayAdmission
 from peattrestle.storms.notice import Notice, Notices
-from peattrestle.storms.shares import Door
-from peattrestle.storms.watch import Storm, Watch
+from peattrestle.storms.storm_detection import Storm, StormDetector
 
 MS = 1_000_000  # nanoseconds
 CHECK_INTERVAL = 250 * MS  # nanoseconds
@@ -45,11 +45,13 @@
     ) -> None:
         self.kernel, self.limits, self.log, self.count = kernel, limits, log, count
         self.gateways = gateways
-        self.watch, self.door = Watch(), Door()
+        self.watch, self.admission = StormDetector(), GatewayAdmission()
         # Sequence numbers start from the clock: notices of a new run must count as newer than the last one's.
         self.notices = Notices(kernel.now() // MS)
-        self.restart_limiter = restarts.Gate(limits.restarts, max(1, limits.restarts // 4), limits.gateways)
-        self.accept_limiter = restarts.Gate(limits.accepts, limits.accepts, 1)
+        self.restart_limiter = restarts.RestartPacer(
+            limits.restarts, max(1, limits.restarts // 4), limits.gateways
+        )
+        self.accept_limiter = restarts.RestartPacer(limits.accepts, limits.accepts, 1)
         self.rng = kernel.chance("door")
 
     def run(self) -> Coroutine[None]:
@@ -57,19 +59,21 @@
         while True:
             yield from self.kernel.sleep(CHECK_INTERVAL)
             now = self.kernel.now()
-            for storm in self.watch.look(now):
+            for storm in self.watch.update(now):
                 self.log_storm(storm)
-            was_limiting = self.door.held
-            self.door.look(now)
-            if self.door.held != was_limiting:
+            was_limiting = self.admission.is_limiting
+            self.admission.update(now)
+            if self.admission.is_limiting != was_limiting:
                 self.log(
-                    "warning" if self.door.held else "info",
-                    "gateways limited to their shares" if self.door.held else "gateway limits lifted",
-                    carried=round(self.door.stands.rate(now), 1),
+                    "warning" if self.admission.is_limiting else "info",
+                    "gateways limited to their shares"
+                    if self.admission.is_limiting
+                    else "gateway limits lifted",
+                    carried=round(self.admission.answered.rate(now), 1),
                     offered=round(self.watch.offered(now), 1),
-                    turned_away=self.door.turned_away,
+                    turned_away=self.admission.turned_away,
                 )
-            self.send_notices(self.notices.look(now, self.door.notices()))
+            self.send_notices(self.notices.due_notices(now, self.admission.limits_to_announce()))
 
     def log_storm(self, storm: Storm) -> None:
         """Logs the start or the end of a storm; a start is counted as well."""
@@ -103,30 +107,30 @@
 
         `revenue`: the call's expected revenue; within a share, calls of higher revenue are admitted first.
         """
-        if self.door.lets(self.kernel.now(), gateway, revenue, self.rng.random()):
+        if self.admission.admits(self.kernel.now(), gateway, revenue, self.rng.random()):
             return True
         self.count("held_to_share")
         return False
 
     def accept_after(self) -> int:
         """Nanoseconds to wait before the next connection is accepted; until then it stays in the backlog."""
-        return self.accept_limiter.comes(self.kernel.now(), "")
+        return self.accept_limiter.wait_for(self.kernel.now(), "")
 
     def on_gateway_connected(self, requester: Requester, gateway_count: int) -> None:
         """Records a reconnection. `gateway_count`: gateways known to the agent."""
         now = self.kernel.now()
-        self.watch.connected(
+        self.watch.count_connection(
             now, gateway_count, now - requester.disconnected_at if requester.disconnected_at else -1
         )
 
     def on_gateway_disconnected(self, requester: Requester) -> None:
         """Frees the gateway's share and forgets its rate notice."""
-        self.door.gone(requester.name)
+        self.admission.remove_gateway(requester.name)
         self.notices.gone(requester.name)
 
-    def restart_after(self, asker: Requester) -> int:
+    def restart_after(self, requester: Requester) -> int:
         """0: the gateway may restart now; else nanoseconds after which it is to retry its ServiceChange."""
-        wait = self.restart_limiter.comes(self.kernel.now(), asker.name)
+        wait = self.restart_limiter.wait_for(self.kernel.now(), requester.name)
         if wait:
             self.count("restarts_held_back")
         return wait
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -26,7 +26,7 @@
 # States of a call.
 OPEN, ESTABLISHED, ENDED = "open", "stands", "over"
 # Kinds of a final answer.
-STOOD, REFUSED, FAILED = "stood", "refused", "failed"
+ANSWERED, REFUSED, FAILED = "stood", "refused", "failed"
 
 Log = Callable[..., None]
 
@@ -56,7 +56,7 @@
 
     `state` is 'open' until the final answer, 'stands' while the call is established, then 'over'. `arrived`
     is the arrival time, `abandon_at` the time by which the final answer is due, `tries` the number of route
-    tries started, and `overdue` the timer that answers the call when the controller does not.
+    tries started, and `answer_timer` the timer that answers the call when the controller does not.
     """
 
     id: int
@@ -66,7 +66,7 @@
     tries: int = 0
     pending_try: TryT | None = None
     answered_try: TryT | None = None
-    overdue: Timer | None = None
+    answer_timer: Timer | None = None
     cause: str = ""  # of the last failed route try
 
 
@@ -83,14 +83,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Final:
-    """A final answer of kind STOOD, REFUSED or FAILED.
+    """A final answer of kind ANSWERED, REFUSED or FAILED.
 
-    `come_back` is the retry-after advice in nanoseconds, 0 for none. `own_fault` is true when the agent
+    `retry_after` is the retry-after advice in nanoseconds, 0 for none. `own_fault` is true when the agent
     itself failed rather than a route.
     """
 
     kind: str
-    come_back: int = 0
+    retry_after: int = 0
     own_fault: bool = False
 
 
@@ -108,7 +108,7 @@
 class Core(Generic[CallT, TryT]):
     """Base class of the protocol front ends.
 
-    A subclass implements `launch`, `end_launched`, `reply`, `misanswered` and `dropped`.
+    A subclass implements `send_set_up`, `release_try`, `reply`, `on_answer_refused` and `on_call_removed`.
 
     The controller's answers are due `answer_margin` nanoseconds before a call's abandon time; half of that
     margin before it, the core answers by itself. Log lines go to `log(level, text, **fields)`.
@@ -130,11 +130,11 @@
 
     # Implemented by each front end.
 
-    def launch(self, call: CallT, action: api.SetUp, number: int) -> TryT | Unsent:
+    def send_set_up(self, call: CallT, action: api.SetUp, number: int) -> TryT | Unsent:
         """Sends the set-up of route try `number`; returns the try, or why it was not sent."""
         raise NotImplementedError
 
-    def end_launched(self, route_try: TryT, tell: bool) -> None:
+    def release_try(self, route_try: TryT, tell: bool) -> None:
         """Releases what the front end holds for a finished route try.
 
         `tell`: the exchange may still hold resources for the try, so it is sent a release.
@@ -145,14 +145,14 @@
         """Sends the final answer to the caller."""
         raise NotImplementedError
 
-    def misanswered(self, call: CallT) -> bool:
+    def on_answer_refused(self, call: CallT) -> bool:
         """Handles a final answer that the guard refused.
 
         Returns False if the call was answered before, and its state is then left unchanged.
         """
         raise NotImplementedError
 
-    def dropped(self, call: CallT) -> None:
+    def on_call_removed(self, call: CallT) -> None:
         """Removes the front end's state of a call that is over."""
         raise NotImplementedError
 
@@ -166,7 +166,7 @@
     def post(self, event: api.Event) -> None:
         """Queues an event for the controller, which gets it at the end of this turn of the event loop."""
         self._events.append(event)
-        self._has_list_update |= isinstance(event, api.Listed)
+        self._has_list_update |= isinstance(event, api.ListUpdated)
         if not self._processing_scheduled:
             self._processing_scheduled = True
             self.kernel.at_turn_end(self.process_events)
@@ -177,7 +177,7 @@
         events, self._events = self._events, []
         if self._has_list_update:  # list updates also apply to the calls of the same batch
             self._has_list_update = False
-            events.sort(key=lambda event: not isinstance(event, api.Listed))
+            events.sort(key=lambda event: not isinstance(event, api.ListUpdated))
         for action in self.run_controller(events):
             match action:
                 case api.SetUp():
@@ -210,7 +210,7 @@
 
     # Incoming calls.
 
-    def take(self, call: CallT, arrived: api.CallArrived) -> None:
+    def accept_call(self, call: CallT, arrived: api.CallArrived) -> None:
         """Accepts a call. From here on the agent guarantees exactly one final answer for it."""
         self.calls[call.id] = call
         if self.tracing:
@@ -220,12 +220,12 @@
                 "debug",
                 "call taken",
                 call=call.id,
-                reference=self.named(call),
+                reference=self.reference_of(call),
                 patience_ms=patience_ms,
                 **fields,
             )
-        self.guard.arrived(call.id, call.abandon_at)
-        call.overdue = self.kernel.at(
+        self.guard.on_call_arrived(call.id, call.abandon_at)
+        call.answer_timer = self.kernel.at(
             call.abandon_at - self.answer_margin // 2, lambda: self.on_answer_overdue(call)
         )
         self.post(arrived)
@@ -242,23 +242,25 @@
         """Fails a call that the controller left unanswered, which is a fault of the controller."""
         if call.state == OPEN:
             self.counts.add("overdue")
-            self.log("error", "controller left a call unanswered", call=call.id, reference=self.named(call))
-            self.give_up(call, own_fault=True)
+            self.log(
+                "error", "controller left a call unanswered", call=call.id, reference=self.reference_of(call)
+            )
+            self.fail_call(call, own_fault=True)
 
-    def give_up(self, call: CallT, own_fault: bool = False) -> None:
+    def fail_call(self, call: CallT, own_fault: bool = False) -> None:
         """Answers an open call as failed, cancels its pending try and notifies the controller."""
         self.cancel_pending_try(call, "timeout")
         self.post(api.CallerLeft(call.id))
         self.answer(call, Final(FAILED, own_fault=own_fault))
 
-    def named(self, call: CallT) -> str:
+    def reference_of(self, call: CallT) -> str:
         """Returns the client's own identifier of the call, for the log."""
         return str(call.id)
 
     def caller_left(self, call: CallT) -> None:
         """Handles an open call whose caller is gone: no answer is due, and a pending try is cancelled."""
         if self.tracing:
-            self.log("debug", "caller left", call=call.id, reference=self.named(call))
+            self.log("debug", "caller left", call=call.id, reference=self.reference_of(call))
         self.post(api.CallerLeft(call.id))
         self._callers_left.add(call.id)
         self.cancel_pending_try(call, "cancelled")
@@ -269,7 +271,7 @@
         route_try = call.pending_try
         if route_try is not None:
             self.end_try(route_try, tell=True)
-            self.guard.try_ended(self.kernel.now(), call.id, True)
+            self.guard.on_try_ended(self.kernel.now(), call.id, True)
             self.post(
                 api.TryEnded(
                     call.id,
@@ -281,7 +283,7 @@
                 )
             )
 
-    def finish(self, call: CallT) -> None:
+    def release_call(self, call: CallT) -> None:
         """Releases an established call, or cancels an open one."""
         if call.state == OPEN:
             self.caller_left(call)
@@ -293,11 +295,11 @@
     def forget(self, call: CallT) -> None:
         """Removes a call that is over from all tables."""
         call.state = ENDED
-        if call.overdue is not None:
-            call.overdue.cancel()
+        if call.answer_timer is not None:
+            call.answer_timer.cancel()
         self.calls.pop(call.id, None)
-        self.guard.over(call.id)
-        self.dropped(call)
+        self.guard.on_call_over(call.id)
+        self.on_call_removed(call)
 
     # Route tries and answers.
 
@@ -307,7 +309,7 @@
         call = self.calls.get(action.call)
         if action.call in self._callers_left:
             return  # requested by an event that precedes the call's end in the same batch
-        violated_rule = self.guard.set_up(now, action.call, action.exchange)
+        violated_rule = self.guard.check_set_up(now, action.call, action.exchange)
         if violated_rule or call is None:
             self.counts.add("guard_refusals")
             self.log(
@@ -324,13 +326,15 @@
             return
         number = call.tries
         call.tries += 1
-        launched = self.launch(call, action, number)
+        launched = self.send_set_up(call, action, number)
         if isinstance(launched, Unsent):
-            self.guard.try_ended(now, call.id, False)
+            self.guard.on_try_ended(now, call.id, False)
             self.counts.add("unsent")
             if self.tracing:
                 fields = {"exchange": action.exchange, "result": launched.result}
-                self.log("debug", "set-up not sent", call=call.id, reference=self.named(call), **fields)
+                self.log(
+                    "debug", "set-up not sent", call=call.id, reference=self.reference_of(call), **fields
+                )
             self.post(
                 api.TryEnded(call.id, action.exchange, launched.result, 0, number, False, launched.cause)
             )
@@ -345,9 +349,9 @@
         """Ends a try that the exchange has not responded to in time."""
         if route_try.state == "out":
             self.counts.add("timeouts")
-            self.try_over(route_try, "timeout", tell=True, cut_off=True)
+            self.fail_try(route_try, "timeout", tell=True, cut_off=True)
 
-    def try_over(
+    def fail_try(
         self,
         route_try: TryT,
         result: str,
@@ -368,7 +372,7 @@
         if self.tracing:
             self.log_try("route try ended", route_try, result=result, cause=cause)
         self.end_try(route_try, tell)
-        self.guard.try_ended(now, call.id, cut_off)
+        self.guard.on_try_ended(now, call.id, cut_off)
         self.post(
             api.TryEnded(
                 call.id,
@@ -390,12 +394,12 @@
         """
         if route_try.timer is not None:
             route_try.timer.cancel()
-        self.end_launched(route_try, tell)
+        self.release_try(route_try, tell)
         route_try.state = "over"
         if route_try.call.pending_try is route_try:
             route_try.call.pending_try = None
 
-    def stands(self, route_try: TryT, load: api.Load | None = None) -> None:
+    def on_answered(self, route_try: TryT, load: api.Load | None = None) -> None:
         """Handles an exchange's positive answer: the call is established, and its caller is answered."""
         now = self.kernel.now()
         call = route_try.call
@@ -405,18 +409,18 @@
         if self.tracing:
             self.log_try("stands", route_try, ms=(now - route_try.sent_at) // 1_000_000)
         call.pending_try, call.answered_try, call.state = None, route_try, ESTABLISHED
-        self.guard.try_ended(now, call.id, False)
-        self.post(api.Stood(call.id, route_try.exchange, now - route_try.sent_at, route_try.number))
+        self.guard.on_try_ended(now, call.id, False)
+        self.post(api.TryAnswered(call.id, route_try.exchange, now - route_try.sent_at, route_try.number))
         if load:
-            self.post(api.Reported(route_try.exchange, "served", now - route_try.sent_at, load))
-        self.answer(call, Final(STOOD))
+            self.post(api.LoadReported(route_try.exchange, "served", now - route_try.sent_at, load))
+        self.answer(call, Final(ANSWERED))
 
     def log_try(self, text: str, route_try: TryT, **fields: object) -> None:
         self.log(
             "debug",
             text,
             call=route_try.call.id,
-            reference=self.named(route_try.call),
+            reference=self.reference_of(route_try.call),
             route_try=route_try.number,
             exchange=route_try.exchange,
             **fields,
@@ -427,12 +431,12 @@
             "debug",
             "final answer",
             call=call.id,
-            reference=self.named(call),
+            reference=self.reference_of(call),
             answer=final.kind,
             ms=(self.kernel.now() - call.arrived) // 1_000_000,
             route_tries=call.tries,
             cause=call.cause,
-            come_back_ms=final.come_back // 1_000_000,
+            come_back_ms=final.retry_after // 1_000_000,
         )
 
     def answer_by_id(self, call_id: int, final: Final) -> None:
@@ -443,9 +447,9 @@
     def answer(self, call: CallT, final: Final) -> None:
         """Sends the final answer after the guard's check; removes the call unless it is established by it.
 
-        When the guard refuses the answer, the front end decides in `misanswered` whether the call ends.
+        When the guard refuses the answer, the front end decides in `on_answer_refused` whether the call ends.
         """
-        violated_rule = self.guard.answer(self.kernel.now(), call.id)
+        violated_rule = self.guard.check_answer(self.kernel.now(), call.id)
         if violated_rule:
             self.counts.add("guard_refusals")
             level = "warning" if violated_rule == LATE_ANSWER else "error"
@@ -454,17 +458,17 @@
                 "the guard refused an answer",
                 rule=violated_rule,
                 call=call.id,
-                reference=self.named(call),
+                reference=self.reference_of(call),
             )
-            if not self.misanswered(call):
+            if not self.on_answer_refused(call):
                 return
         else:
             if self.tracing:
                 self.log_answer(call, final)
             self.reply(call, final)
-        if final.kind != STOOD or violated_rule:
+        if final.kind != ANSWERED or violated_rule:
             if call.answered_try is not None:
                 self.end_try(call.answered_try, tell=True)
             self.forget(call)
-        elif call.overdue is not None:
-            call.overdue.cancel()
+        elif call.answer_timer is not None:
+            call.answer_timer.cancel()
--- a/peattrestle/calls/guard.py
+++ b/peattrestle/calls/guard.py
@@ -71,7 +71,7 @@
         self.refusals[rule] = self.refusals.get(rule, 0) + 1
         return rule
 
-    def told(self, now: int, exchange: str, state: str, started_at: int) -> None:
+    def on_exchange_state(self, now: int, exchange: str, state: str, started_at: int) -> None:
         """Records an exchange's listed state. `started_at`: its start time, 0 if it is not known."""
         record = self.exchanges.setdefault(exchange, ExchangeRecord())
         if state == "ready":
@@ -81,11 +81,11 @@
         if started_at:
             record.cold_until = max(record.cold_until, started_at + self.cold_time)
 
-    def arrived(self, call: int, abandon_at: int) -> None:
+    def on_call_arrived(self, call: int, abandon_at: int) -> None:
         """Starts tracking a call whose final answer is due by `abandon_at`."""
         self.calls[call] = CallRecord(abandon_at)
 
-    def set_up(self, now: int, call: int, exchange: str) -> str:
+    def check_set_up(self, now: int, call: int, exchange: str) -> str:
         """Returns the rule that this set-up would break, or '' and records it as the pending try."""
         record, exchange_record = self.calls.get(call), self.exchanges.get(exchange)
         if record is None or record.answered:
@@ -114,7 +114,7 @@
         record.pending_exchange = exchange
         return ""
 
-    def try_ended(self, now: int, call: int, cut_off: bool) -> None:
+    def on_try_ended(self, now: int, call: int, cut_off: bool) -> None:
         """Records the end of the pending try. `cut_off`: it timed out, was reset or cancelled (rule 5)."""
         record = self.calls.get(call)
         if record is not None:
@@ -122,7 +122,7 @@
             if cut_off:
                 record.earliest_retry_at = max(record.earliest_retry_at, now + self.release_time)
 
-    def answer(self, now: int, call: int) -> str:
+    def check_answer(self, now: int, call: int) -> str:
         """Returns the rule that a final answer would break now, or '' and records the call as answered."""
         record = self.calls.get(call)
         if record is None or record.answered:
@@ -133,6 +133,6 @@
         record.answered = True
         return ""
 
-    def over(self, call: int) -> None:
+    def on_call_over(self, call: int) -> None:
         """Stops tracking a call."""
         self.calls.pop(call, None)
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from peattrestle.h248 import package
-from peattrestle.h248.session import BadPeer, Garbled, Session
+from peattrestle.h248.session import BadPeer, MalformedMessage, Session
 from peattrestle.h248.transactions import Answered, Transactions
 from peattrestle.runtime import Coroutine, Lost, Refused, TimedOut
 from peattrestle.runtime.epoll import EpollKernel
@@ -14,7 +14,7 @@
 SECOND = 1_000_000_000  # nanoseconds
 
 
-def request_call(address: str, request: package.SetUpAsked, hold: int) -> dict[str, Any]:
+def request_call(address: str, request: package.SetUpRequest, hold: int) -> dict[str, Any]:
     """Requests a call from the agent at `address`, and releases an established one after `hold` nanoseconds.
 
     Returns the fields of the result; `answer` is 'stands' (established), 'refused', 'failed', 'error',
@@ -34,7 +34,7 @@
         session.request("add", lambda number: package.add_text(number, request))
         while data := (yield from stream.read()):
             for message in session.feed(kernel.now(), data):
-                if isinstance(message, Garbled):
+                if isinstance(message, MalformedMessage):
                     answer["text"] = str(message.fault)
                 elif isinstance(message, Answered) and message.kept == "add":
                     outcome = package.read_outcome(message.reply)
@@ -42,7 +42,7 @@
                     answer.update(
                         answer=answer_texts.get(outcome.code, "error"),
                         text=outcome.text,
-                        come_back_ms=outcome.come_back // 1_000_000,
+                        come_back_ms=outcome.retry_after // 1_000_000,
                         ms=round((kernel.now() - started) / 1e6, 1),
                     )
                     if outcome.code == 0:
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -21,8 +21,8 @@
 5. early time-out: while set-ups are being lost, an unanswered one is abandoned in time for one more try;
 6. call gapping: calls to a number whose lines are all busy are refused for a while.
 
-Each exchange, the own one included, is an actor with an inbox; `Home` holds the calls. To set a call
-up, `Home` asks the own exchange, the destination and a tandem in turn for admission; each admits the
+Each exchange, the own one included, is an actor with an inbox; `CallRouter` holds the calls. To set a call
+up, `CallRouter` asks the own exchange, the destination and a tandem in turn for admission; each admits the
 call or refuses it.
 """
 
@@ -35,7 +35,7 @@
 from math import inf
 
 from peattrestle import interface as api
-from peattrestle.storms.sight import RequestKey, Seen, Sight
+from peattrestle.storms.retry_detection import CallerAttempt, RequestKey, RetryDetector
 
 SECOND = 1_000_000_000  # nanoseconds
 
@@ -263,9 +263,9 @@
     MIN_DECREASE_INTERVAL = SECOND // 2  # ns; set-ups sent before a decrease do not show its effect
     EARLY_TIMEOUT_QUANTILE = 0.9  # an early time-out is at least twice this quantile of the set-up delay
 
-    def __init__(self, loop: Loop, home: Home, name: str) -> None:
+    def __init__(self, loop: Loop, router: CallRouter, name: str) -> None:
         super().__init__(loop)
-        self.home = home
+        self.router = router
         self.name = name
         self.number = -1
         self.state = "gone"
@@ -273,31 +273,31 @@
         self.start_known_at, self.budget_phase = 0, 0.0  # see has_cold_budget
         self.free_circuits, self.group_size = 0, -1  # of the own trunk group to it; size -1: not known
         self.cold_setups: deque[int] = deque()  # times at which set-ups were sent during the cold time
-        self.out, self.window = 0, self.INITIAL_WINDOW  # set-ups outstanding, and their limit
+        self.outstanding, self.window = 0, self.INITIAL_WINDOW  # set-ups outstanding, and their limit
         self.window_fixed_until = self.answered_in_time_at = 0
         self.delays = DelayHistogram()
 
     def receive(self, message: Message) -> None:
         match message:
             case AdmissionRequest():
-                self.loop.post(self.home, AdmissionResponse(message, self, self.admits(message)))
+                self.loop.post(self.router, AdmissionResponse(message, self, self.admits(message)))
             case SetUpSent(is_outstanding):
-                self.out += is_outstanding
+                self.outstanding += is_outstanding
                 if self.loop.now < self.cold_until:
                     self.cold_setups.append(self.loop.now)
             case SetUpFinished():
-                self.out -= not message.sent_elsewhere
+                self.outstanding -= not message.sent_elsewhere
                 self.update_window(message)
             case api.Entry():
-                self.told(message)
-            case api.Reported() | api.TryEnded():
+                self.apply_list_entry(message)
+            case api.LoadReported() | api.TryEnded():
                 self.free_circuits = int(message.load.get("free", self.free_circuits))
                 self.group_size = int(message.load.get("size", self.group_size))
-                self.home.max_setup_rate = max(self.home.max_setup_rate, message.load.get("rate", 0.0))
+                self.router.max_setup_rate = max(self.router.max_setup_rate, message.load.get("rate", 0.0))
 
-    def told(self, entry: api.Entry) -> None:
+    def apply_list_entry(self, entry: api.Entry) -> None:
         """Applies this exchange's entry of the exchange list."""
-        if self.number < 0 and entry.number == self.home.own_number:
+        if self.number < 0 and entry.number == self.router.own_number:
             self.window = 2 * self.INITIAL_WINDOW  # a restart during a storm must not add a burst
         self.number, self.state = entry.number, entry.state
         cold_until = entry.started_at + self.loop.settings.get("cold_time", 0) if entry.started_at else 0
@@ -311,23 +311,23 @@
         A queue at the exchange delays many set-ups, so there is one decrease per `MIN_DECREASE_INTERVAL`.
         """
         now = self.loop.now
-        in_time = finished.outcome == "answered" and finished.elapsed <= self.home.late_after
-        if self.number == self.home.own_number:
+        in_time = finished.outcome == "answered" and finished.elapsed <= self.router.late_after
+        if self.number == self.router.own_number:
             # Guards against a metastable overload: callers' repeats keep the network overloaded after its
             # cause has gone.
             if in_time:
-                self.window = min(self.home.max_window(1), self.window * (1 + self.OWN_WINDOW_STEP))
+                self.window = min(self.router.max_window(1), self.window * (1 + self.OWN_WINDOW_STEP))
             elif (
                 finished.outcome in ("answered", "unanswered")
-                and self.home.late_share(0.25) > self.home.MAX_LATE_SHARE
+                and self.router.late_share(0.25) > self.router.MAX_LATE_SHARE
             ):
-                self.window = max(1.0, min(self.window, self.out + 1) * (1 - self.OWN_WINDOW_STEP))
+                self.window = max(1.0, min(self.window, self.outstanding + 1) * (1 - self.OWN_WINDOW_STEP))
             return
         if finished.outcome == "answered":
-            self.delays.add(now, finished.elapsed / self.home.target)
+            self.delays.add(now, finished.elapsed / self.router.target)
         if in_time:
             self.answered_in_time_at = now
-            max_window = self.home.max_window(self.home.peer_agents)
+            max_window = self.router.max_window(self.router.peer_agents)
             self.window = min(max_window, self.window + min(self.window, 1 / self.window))
         elif finished.outcome == "unanswered" and now - finished.elapsed < self.answered_in_time_at:
             pass  # only this message was lost: the exchange has answered in time since it was sent
@@ -356,10 +356,10 @@
         The GoS target must leave time for the release and a second try; a slow exchange gets no early
         time-out.
         """
-        target = self.home.target
+        target = self.router.target
         few = sum(self.delays.bins) < DelayHistogram.MIN_WEIGHT  # then the delays of all exchanges are used
         usual_delay = (
-            min(1.0, (self.home if few else self).delays.quantile(self.EARLY_TIMEOUT_QUANTILE)) * target
+            min(1.0, (self.router if few else self).delays.quantile(self.EARLY_TIMEOUT_QUANTILE)) * target
         )
         timeout = target - self.loop.settings.get("release_time", 0) - usual_delay
         return int(timeout) if timeout >= 2 * usual_delay else 0
@@ -369,7 +369,7 @@
 
         True where nothing is known of the group yet: a set-up without circuits comes back without being sent.
         """
-        own = self.number == self.home.own_number
+        own = self.number == self.router.own_number
         return self.state == "ready" and not own and (self.group_size < 0 or self.free_circuits >= circuits)
 
     def has_cold_budget(self, own: bool) -> bool:
@@ -381,9 +381,11 @@
         between them is assumed.
         """
         get = self.loop.settings.get
-        rate = self.home.circuits / self.home.holding_time
-        if self.home.max_setup_rate:  # trunk groups may carry more than the processors behind them can set up
-            rate = min(rate, self.home.max_setup_rate / SECOND)
+        rate = self.router.circuits / self.router.holding_time
+        if (
+            self.router.max_setup_rate
+        ):  # trunk groups may carry more than the processors behind them can set up
+            rate = min(rate, self.router.max_setup_rate / SECOND)
         carried = rate * get("fall_time", 0)
         initial, remaining = (
             get("cold_from", 1),
@@ -392,7 +394,7 @@
         budget: float = (
             get("fall_multiple", 1) * (initial + (1 - initial) / 2 * (1 - remaining)) * carried / 2
         )
-        share = max(0.01, budget if own else budget / self.home.peer_agents)
+        share = max(0.01, budget if own else budget / self.router.peer_agents)
         window: float = get("fall_time", 0) / min(1.0, share)  # a share below 1: one set-up in a longer time
         while self.cold_setups and self.cold_setups[0] <= self.loop.now - window:
             self.cold_setups.popleft()
@@ -414,8 +416,8 @@
                 1.0, self.window + self.WINDOW_RECOVERY * (self.loop.now - self.window_fixed_until) / SECOND
             )
             self.window_fixed_until = self.loop.now
-        revenue = self.home.worth(call.arrival, call.attempt)
-        excess = self.out + 1 - self.window * revenue
+        revenue = self.router.relative_revenue(call.arrival, call.attempt)
+        excess = self.outstanding + 1 - self.window * revenue
         return excess > 0 and self.loop.random() < excess
 
 
@@ -426,7 +428,7 @@
     arrival: api.CallArrived
     arrived_at: int
     destination: Exchange
-    attempt: Seen | None = None  # first or further try of its caller; None in transit
+    attempt: CallerAttempt | None = None  # first or further try of its caller; None in transit
     routes: deque[Exchange] = field(default_factory=deque)  # still to be tried, in order
     pending_route: Exchange | None = None  # where the one route try in progress was sent
     tries: int = 0
@@ -438,11 +440,14 @@
     is_braked: bool = False  # by the overflow brake
 
 
-class Home(Actor):
+class CallRouter(Actor):
     """The agent's calls and route statistics; the only place that sends set-ups and final answers."""
 
     MAX_LATE_SHARE = 0.25  # of answers; from it on no call overflows and the own window shrinks
-    FURTHER, MAX_RETRY_BUDGET = 0.1, 10.0  # further route tries earned by each first one, and the most kept
+    RETRY_CREDIT, MAX_RETRY_BUDGET = (
+        0.1,
+        10.0,
+    )  # further route tries earned by each first one, and the most kept
     LATE_RETURN_SHARE = 0.2  # rate at which late callers return, as a fraction of the answered calls
     RETRY_JITTER = 0.4  # fraction of a third of the GoS target; spreads callers that were refused together
     MIN_GAP, MAX_GAP = SECOND, 8 * SECOND  # ns; a busy line comes free within about a holding time
@@ -477,23 +482,23 @@
         self.delays = DelayHistogram()
         self.follows_list = False
         self.lost_setups, self.lost_halved_at = 0.0, 0
-        self.retry_detector = Sight(
+        self.retry_detector = RetryDetector(
             max((int(get(f"abandon_time:{name}", SECOND)) for name in types), default=SECOND)
         )
 
     def receive(self, message: Message) -> None:
         match message:
             case api.CallArrived():
-                self.arrive(message)
+                self.handle_call(message)
             case AdmissionResponse():
                 self.handle_admission_response(message)
-            case api.Stood():
+            case api.TryAnswered():
                 self.handle_answer(message)
             case api.TryEnded():
                 self.handle_try_ended(message)
-            case api.Reported():
+            case api.LoadReported():
                 self.update_circuits(message)
-            case api.Listed():
+            case api.ListUpdated():
                 self.handle_list(message)
             case api.TimerDue(token):
                 self.handle_timer(token)
@@ -508,7 +513,7 @@
             self.exchanges[name] = Exchange(self.loop, self, name)
         return self.exchanges[name]
 
-    def handle_list(self, message: api.Listed) -> None:
+    def handle_list(self, message: api.ListUpdated) -> None:
         for exchange in list(self.exchanges.values()):
             # Drops an exchange that was replaced: its trunk group now belongs to the replacement.
             if exchange.state == "gone" and self.exchanges_by_number.get(exchange.number) is not exchange:
@@ -542,12 +547,12 @@
         ):
             self.request_admission(call)
 
-    def worth(self, asked: api.CallArrived, seen: Seen | None) -> float:
+    def relative_revenue(self, arrival: api.CallArrived, attempt: CallerAttempt | None) -> float:
         """Expected revenue of the call, relative to the mean revenue.
 
         Guards first tries against further tries that can no longer be answered within the GoS target.
         """
-        name, first_at = asked.bearer_type, seen.first_at if seen is not None else -1
+        name, first_at = arrival.bearer_type, attempt.first_at if attempt is not None else -1
         late = 0 <= first_at < self.loop.now - self.target
         share: float = self.loop.settings.get(f"late_revenue:{name}", 1.0) if late else 1.0
         return share * self.revenue.get(name, 1.0) / self.mean_revenue
@@ -570,7 +575,7 @@
         )
         return (late + missing) / max(DelayHistogram.MIN_WEIGHT, sum(self.delays.bins) + missing)
 
-    def update_circuits(self, message: api.Reported | api.TryEnded) -> None:
+    def update_circuits(self, message: api.LoadReported | api.TryEnded) -> None:
         exchange = self.get_exchange(message.exchange)
         self.circuits += max(0, int(message.load.get("size", exchange.group_size))) - max(
             0, exchange.group_size
@@ -584,7 +589,7 @@
     def route_statistics(self, destination: int, route: Exchange) -> RouteStatistics:
         return self.statistics.setdefault((destination, route.name), RouteStatistics())
 
-    def arrive(self, arrival: api.CallArrived) -> None:
+    def handle_call(self, arrival: api.CallArrived) -> None:
         """Refuses a new call at once, or starts to set it up."""
         destination = self.exchanges_by_number.get(arrival.destination)
         gap_until, _ = self.gaps.get(arrival.number, (0, 0))
@@ -592,11 +597,16 @@
             None
             if arrival.transit
             else arrival.seen
-            or self.retry_detector.asked(
+            or self.retry_detector.classify(
                 self.loop.now, self.request_key(arrival), arrival.repeat, arrival.cut_before
             )
         )
-        if destination is None or arrival.destination == self.own_number and arrival.transit or arrival.held:
+        if (
+            destination is None
+            or arrival.destination == self.own_number
+            and arrival.transit
+            or arrival.over_share
+        ):
             # No such exchange, or over its gateway's share. Callers whose own agent is away reach the own
             # exchange over a tandem, but a call in transit does not go on from its destination.
             self.refuse(arrival, attempt)
@@ -708,7 +718,7 @@
             self.block(call)
             return
         self.retry_budget = min(
-            self.MAX_RETRY_BUDGET, self.retry_budget + (-1 if call.tries else self.FURTHER)
+            self.MAX_RETRY_BUDGET, self.retry_budget + (-1 if call.tries else self.RETRY_CREDIT)
         )
         early_timeout = route.early_timeout() if self.recent_losses() >= 2 else 0  # one may be chance
         if (
@@ -734,42 +744,46 @@
             self.remember_unserved(call.arrival, call.attempt)
             self.loop.actions.append(api.Abort(call.arrival.call))
 
-    def refuse(self, arrival: api.CallArrived, attempt: Seen | None, wait: int = 0) -> None:
+    def refuse(self, arrival: api.CallArrived, attempt: CallerAttempt | None, wait: int = 0) -> None:
         """Blocks the call, with advice when to retry.
 
-        wait: nanoseconds to advise; 0 for the delay that `come_back` gives.
+        wait: nanoseconds to advise; 0 for the delay that `retry_delay` gives.
         """
         get = self.loop.settings.get
         max_delay = get("come_back_limit", 0) if get("come_back", False) and not arrival.transit else 0
-        retry_after = min(max_delay, wait or self.come_back(arrival, attempt, max_delay))
+        retry_after = min(max_delay, wait or self.retry_delay(arrival, attempt, max_delay))
         self.remember_unserved(arrival, attempt, retry_after)
         self.loop.actions.append(api.Block(arrival.call, retry_after))
 
-    def come_back(self, asked: api.CallArrived, seen: Seen | None, most: int) -> int:
+    def retry_delay(self, arrival: api.CallArrived, attempt: CallerAttempt | None, max_delay: int) -> int:
         """Nanoseconds after which the caller of a refused call should retry.
 
         Short while the caller can still be answered within the GoS target. Later callers get a time slot
         each, so that they return evenly, at a fraction of the rate of the answered calls. When the slots up
-        to `most` are taken, the delay is random up to there. Never so long that the caller would have
+        to `max_delay` are taken, the delay is random up to there. Never so long that the caller would have
         given up.
         """
         now, draw = self.loop.now, self.loop.random()
         short_delay = int(self.target * (1 + (draw - 0.5) * self.RETRY_JITTER) / 3)
-        first_at = seen.first_at if seen is not None and seen.first_at >= 0 else now
+        first_at = attempt.first_at if attempt is not None and attempt.first_at >= 0 else now
         if now + short_delay < first_at + self.target:
             return short_delay
-        abandon_time = self.loop.settings.get(f"abandon_time:{asked.bearer_type}", 0)
-        most = max(short_delay, min(most, first_at + abandon_time - self.target - now))
+        abandon_time = self.loop.settings.get(f"abandon_time:{arrival.bearer_type}", 0)
+        max_delay = max(short_delay, min(max_delay, first_at + abandon_time - self.target - now))
         slot_length = int(1.5 * HALF_LIFE / max(1.0, self.LATE_RETURN_SHARE * sum(self.delays.bins)))
         slot_at = max(self.next_return_slot_at, now + short_delay)
-        if slot_at + slot_length > now + most:
-            return short_delay + int(draw * (most - short_delay))
+        if slot_at + slot_length > now + max_delay:
+            return short_delay + int(draw * (max_delay - short_delay))
         self.next_return_slot_at = slot_at + slot_length
         return slot_at + int(draw * slot_length) - now
 
-    def remember_unserved(self, arrival: api.CallArrived, attempt: Seen | None, retry_after: int = 0) -> None:
+    def remember_unserved(
+        self, arrival: api.CallArrived, attempt: CallerAttempt | None, retry_after: int = 0
+    ) -> None:
         if attempt is not None:
-            self.retry_detector.unserved(self.loop.now, self.request_key(arrival), attempt, retry_after)
+            self.retry_detector.record_unserved(
+                self.loop.now, self.request_key(arrival), attempt, retry_after
+            )
 
     def is_repeatable(self, call: Call) -> bool:
         """Whether no try can have been executed, or executing it twice does no harm (rule 2)."""
@@ -782,7 +796,7 @@
         for exchange in dict.fromkeys((route, self.exchanges_by_number.get(self.own_number, route))):
             self.loop.post(exchange, finished)
 
-    def handle_answer(self, message: api.Stood) -> None:
+    def handle_answer(self, message: api.TryAnswered) -> None:
         call = self.calls.pop(message.call, None)
         if call is not None:
             route = self.get_exchange(message.exchange)
@@ -865,21 +879,24 @@
 class Controller:
     """Makes the decisions of one call agent; the same seed, settings and events lead to the same actions.
 
-    `sight` and `worth` are what the agent uses before it passes a call on: the
+    `retry_detector` and `relative_revenue` are what the agent uses before it passes a call on: the
     detection of further tries, and the expected revenue of a call.
     """
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
         self._loop = Loop(seed, settings)
-        self._home = Home(self._loop)
-        self.sight, self.worth = self._home.retry_detector, self._home.worth
+        self._router = CallRouter(self._loop)
+        self.retry_detector, self.relative_revenue = (
+            self._router.retry_detector,
+            self._router.relative_revenue,
+        )
 
     def handle(self, now: int, events: Iterable[api.Event]) -> list[api.Action]:
         """Handles the events in order and returns the resulting actions; `now` is in nanoseconds."""
         loop = self._loop
         loop.now = now
         for event in events:
-            loop.post(self._home, event)
+            loop.post(self._router, event)
             loop.run()
         actions, loop.actions = loop.actions, []
         return actions
--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -18,12 +18,16 @@
 PROFILE = "peattrestle/1"
 # Error codes of H.248.8 that the call path uses.
 REFUSED, FAILED = 510, 530  # insufficient resources; temporary network failure
-UNKNOWN_TERMINATION, UNKNOWN_CONTEXT, TWICE = 430, 411, 433  # TWICE: the termination is already in a context
+UNKNOWN_TERMINATION, UNKNOWN_CONTEXT, ALREADY_IN_CONTEXT = (
+    430,
+    411,
+    433,
+)  # ALREADY_IN_CONTEXT: the termination is already in a context
 BAD_VALUE = 449  # unsupported or unknown parameter value
 # Causes of a refusal, the values of `ptc/cau`.
 CAUSES = frozenset({"no_circuit", "turned_back", "beyond_full", "processor_full", "lines_busy"})
 # Statistic -> key of the load report: free circuits and circuits of the group, processor queue and rate.
-LOAD = {"ptg/fre": "free", "ptg/siz": "size", "ptp/que": "queue", "ptp/rat": "rate"}
+LOAD_STATISTICS = {"ptg/fre": "free", "ptg/siz": "size", "ptp/que": "queue", "ptp/rat": "rate"}
 MAX_DURATION = 1 << 62  # nanoseconds
 
 
@@ -32,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class SetUpAsked:
+class SetUpRequest:
     """A request to set up a call, the parameters of an Add.
 
     `patience`: nanoseconds until the requester gives up. `reference`: the caller's reference of the call, the
@@ -56,7 +60,7 @@
     origin: int = -1
 
 
-def add_text(transaction_id: int, request: SetUpAsked) -> str:
+def add_text(transaction_id: int, request: SetUpRequest) -> str:
     """A request with one Add into a new context. Raises ValueError where a text value can't be written."""
     parameters = [
         f"ptc/brt={quoted(request.bearer_type)},ptc/dst={request.destination},ptc/abn={request.patience}"
@@ -95,7 +99,7 @@
     return int(text)
 
 
-def read_add(command: Command) -> SetUpAsked:
+def read_add(command: Command) -> SetUpRequest:
     """Reads the parameters of an Add; those of other packages are ignored. Raises BadValue."""
     control = command.find("Media", "LocalControl")
     values: dict[str, str | None] = {}
@@ -113,7 +117,7 @@
     for name in ("ptc/brt", "ptc/dst", "ptc/abn"):
         if not values.get(name):
             raise BadValue(f"{name} is missing")
-    return SetUpAsked(
+    return SetUpRequest(
         command.termination,
         values["ptc/brt"] or "",
         _parse_int("ptc/dst", values["ptc/dst"], 0, 1 << 31),
@@ -134,16 +138,16 @@
 class Outcome:
     """The reply to an Add. `code` 0: the call stands, in `context`; else REFUSED (510), FAILED or an error.
 
-    `come_back`: nanoseconds after which the caller is advised to retry, 0 for no advice. `wait`:
+    `retry_after`: nanoseconds after which the caller is advised to retry, 0 for no advice. `wait`:
     nanoseconds that a full processor asks to wait. `cause`: one of `CAUSES`, or empty. `load`: the load
-    report, with the keys of `LOAD`.
+    report, with the keys of `LOAD_STATISTICS`.
     """
 
     code: int
     context: str = "-"
     text: str = ""
     cause: str = ""
-    come_back: int = 0
+    retry_after: int = 0
     wait: int = 0
     load: Mapping[str, float] | None = None
 
@@ -152,11 +156,11 @@
     statistics = []
     if outcome.cause:
         statistics.append(f"ptc/cau={outcome.cause}")
-    if outcome.come_back:
-        statistics.append(f"ptc/cbk={outcome.come_back}")
+    if outcome.retry_after:
+        statistics.append(f"ptc/cbk={outcome.retry_after}")
     if outcome.wait:
         statistics.append(f"ptc/wai={outcome.wait}")
-    for name, field in LOAD.items():
+    for name, field in LOAD_STATISTICS.items():
         if outcome.load and field in outcome.load:
             statistics.append(f"{name}={outcome.load[field]:.10g}")
     return f"Statistics{{{','.join(statistics)}}}" if statistics else ""
@@ -176,7 +180,7 @@
     """The load report among the items of Statistics; invalid numbers are ignored."""
     load = {}
     for item in items:
-        field = LOAD.get(item.name)
+        field = LOAD_STATISTICS.get(item.name)
         if field is not None and item.value is not None:
             try:
                 value = float(item.value)
@@ -213,7 +217,7 @@
                 ):
                     value = min(int(statistic.value or 0), MAX_DURATION)
                     if statistic.name == "ptc/cbk":
-                        outcome.come_back = value
+                        outcome.retry_after = value
                     else:
                         outcome.wait = value
     if outcome.code == 0 and not context.isdigit():
@@ -343,7 +347,7 @@
     return ServiceChange(method, values.get("reason", ""), values)
 
 
-def refusal(reply: Reply) -> int:
+def reply_error_code(reply: Reply) -> int:
     """The error code of the reply to a request with one command; 0 for success."""
     if reply.error is not None:
         return reply.error[0]
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -12,7 +12,14 @@
 from typing import Any
 
 from peattrestle.h248 import text, tpkt
-from peattrestle.h248.transactions import Answered, Duplicate, New, StillPending, Stray, Transactions
+from peattrestle.h248.transactions import (
+    Answered,
+    Duplicate,
+    NewRequest,
+    StillPending,
+    Transactions,
+    UnknownTransaction,
+)
 
 MAX_MALFORMED_IN_A_ROW = 20
 
@@ -22,13 +29,13 @@
 
 
 @dataclass(slots=True)
-class Garbled:
+class MalformedMessage:
     """A message that could not be parsed; the error has been sent to the peer."""
 
     fault: text.Malformed
 
 
-SessionEvent = New | Answered | StillPending | Stray | Garbled
+SessionEvent = NewRequest | Answered | StillPending | UnknownTransaction | MalformedMessage
 
 
 class Session:
@@ -67,7 +74,7 @@
                 parsed = text.parse(message, self.max_message_bytes)
             except text.Malformed as error:
                 self._answer_malformed(error)
-                events.append(Garbled(error))
+                events.append(MalformedMessage(error))
                 continue
             self.malformed_in_a_row = 0
             if parsed.mid != self.peer:
@@ -126,7 +133,7 @@
         try:
             self.send(build(transaction_id))
         except ValueError:
-            self.transactions.give_up(transaction_id)
+            self.transactions.close(transaction_id)
             raise
         return transaction_id
 
--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from peattrestle.storms.sight import Seen
+from peattrestle.storms.retry_detection import CallerAttempt
 
 Settings = Mapping[str, Any]
 Load = Mapping[str, float]  # 'free' and 'size' in circuits, 'rate' in set-ups per second; each may be missing
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ListUpdated:
     """Entries of the exchange list.
 
     form: 'delta' (changes only), 'full' (an exchange that is missing is gone), 'cached' (full, from a stored
@@ -49,7 +49,7 @@
     via: number of a tandem to prefer, in transit that of the exchange the call comes from; -1: none.
     transit: another exchange sent it here to be sent on. cut_before: the caller was in a call that was cut.
     repeat: the gateway marks it as a further try. customer, gateway: who calls, '' where that is not known.
-    held: its gateway is over its share, so the call is only refused with advice when to retry.
+    over_share: its gateway is over its share, so the call is only refused with advice when to retry.
     seen: first or further try, where the agent has already found that out; else the controller does.
     """
 
@@ -65,12 +65,12 @@
     repeat: bool = False
     customer: str = ""
     gateway: str = ""
-    held: bool = False
-    seen: Seen | None = None
+    over_share: bool = False
+    seen: CallerAttempt | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Stood:
+class TryAnswered:
     """A route try was answered, `delay` after it was sent: the call is set up.
 
     route_try: index of the try within its call, from 0.
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reported:
+class LoadReported:
     """Circuits of the trunk group to an exchange, and the load of its processor where that was asked for."""
 
     exchange: str
@@ -129,7 +129,7 @@
     load: Load
 
 
-Event = Listed | CallArrived | Stood | TryEnded | CallerLeft | TimerDue | Reported
+Event = ListUpdated | CallArrived | TryAnswered | TryEnded | CallerLeft | TimerDue | LoadReported
 
 
 @dataclass(slots=True, frozen=True)
@@ -143,10 +143,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Block:
-    """Final answer: blocked. `come_back`: the caller should retry after this time; 0: no advice."""
+    """Final answer: blocked. `retry_after`: the caller should retry after this time; 0: no advice."""
 
     call: int
-    come_back: int = 0
+    retry_after: int = 0
 
 
 @dataclass(slots=True, frozen=True)
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, replace
 
 from peattrestle import interface as api
-from peattrestle.calls.core import ESTABLISHED, FAILED, OPEN, STOOD, Call, Core, Final, RouteTry, Unsent
+from peattrestle.calls.core import ANSWERED, ESTABLISHED, FAILED, OPEN, Call, Core, Final, RouteTry, Unsent
 from peattrestle.calls.core import REFUSED as BLOCKED
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
@@ -33,7 +33,7 @@
 from peattrestle.platform.releases import CallerReleases
 from peattrestle.platform.request import BadSetUp, SetUpRequest, read_set_up
 from peattrestle.platform.shutdown import run_shutdown
-from peattrestle.policy.shutdown import ShutdownPlan, pause
+from peattrestle.policy.shutdown import ShutdownPlan, retry_delay
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.runtime.supervise import supervised
 from peattrestle.sip import text as sip
@@ -171,7 +171,7 @@
         for call in [call for call in self.calls.values() if call.state == OPEN]:
             self.counts.add("given_up")
             self.log("info", "call given up", reference=call.request.tag, why=why)
-            self.give_up(call)
+            self.fail_call(call)
 
     def refusal_reason(self, request: SetUpRequest, now: int) -> str:
         """Returns why a new set-up is refused without routing it, '' if it is accepted."""
@@ -179,7 +179,7 @@
             return "call limit reached"
         plan = self.shutdown
         target = self.config.settings[f"gos_target:{request.bearer_type}"]
-        if plan is not None and (self.refusing_all or not plan.takes(now, request.patience, target)):
+        if plan is not None and (self.refusing_all or not plan.accepts(now, request.patience, target)):
             return "too late in a shutdown"
         return ""
 
@@ -191,7 +191,7 @@
             retry_after = self.max_retry_after
         else:
             allowed = get("come_back", False)
-            retry_after = pause(target, self.max_retry_after, allowed, request.transit)
+            retry_after = retry_delay(target, self.max_retry_after, allowed, request.transit)
         self.counts.add("refused_at_bound" if self.shutdown is None else "refused_in_shutdown")
         self.log("debug", "call refused", reference=request.tag, why=why)
         caller.stream.write(sip.answer(mapping.REFUSED, fields, retry_after_ms=retry_after // MS))
@@ -211,7 +211,7 @@
         for member in rows:
             started_at = max(1, now - (wall_ms - member.born_ms) * MS) if member.born_ms else 0
             entries.append(api.Entry(member.exchange, member.number, member.state, started_at, member.zone))
-            self.guard.told(now, member.exchange, member.state, started_at)
+            self.guard.on_exchange_state(now, member.exchange, member.state, started_at)
             previous = self.members.get(member.exchange)
             if member.state == GONE:
                 self.log("info", "exchange gone from the list", exchange=member.exchange)
@@ -235,7 +235,7 @@
                 self.on_exchange_restarted(member.exchange, started_at)
             if member.number != self.own_number and (previous is None or previous.address != member.address):
                 self.update_link(member)
-        self.post(api.Listed("full" if change.whole else "delta", tuple(entries)))
+        self.post(api.ListUpdated("full" if change.whole else "delta", tuple(entries)))
 
     def update_link(self, member: Member) -> None:
         """Creates or redirects the link of an exchange that is new, back, or at a new address.
@@ -263,7 +263,7 @@
         self.remove_link(link)
         for route_try in list(link.tries.values()):
             waited = route_try.connection is None
-            self.try_over(route_try, "connect_failed" if waited else "reset", tell=False, cut_off=not waited)
+            self.fail_try(route_try, "connect_failed" if waited else "reset", tell=False, cut_off=not waited)
         self.end_calls_at(link.exchange)
 
     def retire_link(self, exchange: str) -> None:
@@ -325,7 +325,7 @@
                     self.counts.add("released")
                     self.log("debug", "released by its caller", reference=message.call_id)
                     call.release_cause = sip.cause_of(message)
-                    self.finish(call)
+                    self.release_call(call)
             case "CANCEL":
                 call = self.calls_by_tag.get(message.call_id)
                 caller.stream.write(sip.answer(481 if call is None else 200, message.fields))
@@ -379,7 +379,7 @@
             fields=message.fields,
         )
         self.calls_by_tag[request.tag] = caller.open_calls[request.tag] = call
-        self.take(
+        self.accept_call(
             call,
             api.CallArrived(
                 call.id,
@@ -433,7 +433,7 @@
 
     # Interface of the core, see `Core`.
 
-    def launch(self, call: SipCall, action: api.SetUp, number: int) -> LinkTry | Unsent:
+    def send_set_up(self, call: SipCall, action: api.SetUp, number: int) -> LinkTry | Unsent:
         link = self.links.get(action.exchange)
         if link is None or not link.is_up and not link.may_connect:
             return Unsent()
@@ -446,7 +446,7 @@
         link.send_set_up(route_try, request.tag, data)
         return route_try
 
-    def end_launched(self, route_try: LinkTry, tell: bool) -> None:
+    def release_try(self, route_try: LinkTry, tell: bool) -> None:
         tag, link = route_try.call.request.tag, route_try.link
         if route_try.state == "out":
             link.remove_try(route_try, tag, lines.encode_release(tag, lines.NORMAL) if tell else b"")
@@ -469,27 +469,27 @@
         call.answered = True
         if caller is None:
             return
-        if final.kind == STOOD:
-            data = sip.answer(mapping.STOOD, call.fields, call.description.encode())
+        if final.kind == ANSWERED:
+            data = sip.answer(mapping.ANSWERED, call.fields, call.description.encode())
         elif final.kind == BLOCKED:
-            data = sip.answer(mapping.REFUSED, call.fields, retry_after_ms=-(-final.come_back // MS))
+            data = sip.answer(mapping.REFUSED, call.fields, retry_after_ms=-(-final.retry_after // MS))
         else:
             data = sip.answer(mapping.OWN_FAULT if final.own_fault else mapping.FAILED, call.fields)
         caller.stream.write(data)
         caller.open_calls.pop(call.request.tag, None)
-        if final.kind == STOOD:
+        if final.kind == ANSWERED:
             self.releases.on_call_established(caller)
         self.connections.close_if_done(caller)
         call.fields, call.description = {}, ""
 
-    def misanswered(self, call: SipCall) -> bool:
+    def on_answer_refused(self, call: SipCall) -> bool:
         """Answers a call as failed after its abandon time, since a call without any answer would be lost."""
         if call.answered:
             return False
         self.reply(call, Final(FAILED))
         return True
 
-    def dropped(self, call: SipCall) -> None:
+    def on_call_removed(self, call: SipCall) -> None:
         tag = call.request.tag
         if self.calls_by_tag.get(tag) is call:
             del self.calls_by_tag[tag]
@@ -498,7 +498,7 @@
             self.connections.close_if_done(call.caller)
         call.answered_try = call.pending_try = call.caller = None  # breaks reference cycles
 
-    def named(self, call: SipCall) -> str:
+    def reference_of(self, call: SipCall) -> str:
         return call.request.tag
 
     # Exchanges.
@@ -510,7 +510,7 @@
         member = self.members.get(link.exchange)
         for tag, data in waiting.items():
             if member is None or member.state != READY:  # it began draining while they waited
-                self.try_over(link.tries[tag], "connect_failed", tell=False, cut_off=False)
+                self.fail_try(link.tries[tag], "connect_failed", tell=False, cut_off=False)
             else:
                 link.send_set_up(link.tries[tag], tag, data)
         for tag, data in self.undelivered_releases.pop(link.exchange, ()):
@@ -526,14 +526,14 @@
         for tag, data in unconfirmed:
             self.release_at_exchange(link, tag, data)
         for route_try in tries:
-            self.try_over(route_try, "reset", tell=False, cut_off=True)
+            self.fail_try(route_try, "reset", tell=False, cut_off=True)
         if link.retired and not link.is_up:
             self.end_calls_at(link.exchange)
 
     def fail_waiting_tries(self, link: Link) -> None:
         """Ends the tries whose set-up still waits for a connection."""
         for tag in list(link.waiting):
-            self.try_over(link.tries[tag], "connect_failed", tell=False, cut_off=False)
+            self.fail_try(link.tries[tag], "connect_failed", tell=False, cut_off=False)
 
     def on_link_refused(self, link: Link, gone: bool) -> None:
         """Handles a failed connection attempt.
@@ -565,12 +565,12 @@
                 self.counts.add("stray_answers")
             elif not line.blob:
                 self.counts.add("spoilt_answers")
-                self.try_over(route_try, "reset", tell=True, cut_off=True)
+                self.fail_try(route_try, "reset", tell=True, cut_off=True)
             else:
                 link.remove_try(route_try, line.tag, b"")
                 route_try.call.description = line.blob
                 self.established_calls.setdefault(link.exchange, {})[line.tag] = route_try.call
-                self.stands(route_try, load)
+                self.on_answered(route_try, load)
                 return
         elif verb == "FINISH":
             if route_try is not None:
@@ -578,7 +578,7 @@
                     raise lines.BadLine(f"FINISH {line.tag[:20]}: the cause is not an integer")
                 result = mapping.RESULTS.get(line.rc, "reset")
                 cause = mapping.CAUSES.get(str(line.opts.get("note", "")), "")
-                self.try_over(
+                self.fail_try(
                     route_try, result, tell=False, cut_off=result == "reset", cause=cause, load=load
                 )
                 return
@@ -588,7 +588,7 @@
         elif verb == "ECHO":
             connection.write(lines.encode_probe_reply(line.tag))
         if load:
-            self.post(api.Reported(link.exchange, "served", 0, load))
+            self.post(api.LoadReported(link.exchange, "served", 0, load))
 
     def handle_exchange_release(self, link: Link, line: lines.Line) -> None:
         """Ends the established call, or keeps the release for a call that is adopted later."""
--- a/peattrestle/policy/shutdown.py
+++ b/peattrestle/policy/shutdown.py
@@ -38,7 +38,7 @@
         close_at = now + counted + KILL_DELAY - CLOSE_MARGIN
         return cls(now, close_at - ANSWER_BEFORE_CLOSE, close_at)
 
-    def takes(self, now: int, patience: int, target: int) -> bool:
+    def accepts(self, now: int, patience: int, target: int) -> bool:
         """Whether a call that arrives now can still be set up within its GoS target, `target`."""
         return now + min(patience, target) <= self.answer_by
 
@@ -46,7 +46,7 @@
         """The abandon time of a call: `requested`, but no later than the last answers are due."""
         return min(requested, self.answer_by)
 
-    def may_end(self, now: int, last_set_up_at: int, open_calls: int) -> bool:
+    def can_end(self, now: int, last_set_up_at: int, open_calls: int) -> bool:
         """Whether the shutdown may end now; `open_calls`: calls that are being set up or in progress."""
         if now >= self.close_at:
             return True
@@ -55,7 +55,7 @@
         )
 
 
-def pause(target: int, longest: int, allowed: bool, in_transit: bool) -> int:
+def retry_delay(target: int, longest: int, allowed: bool, in_transit: bool) -> int:
     """Nanoseconds after which a caller refused during a shutdown should retry; 0: no advice.
 
     target: the call's GoS target. longest: upper limit from the settings. allowed: whether the settings allow
--- a/peattrestle/registry/etcd.py
+++ b/peattrestle/registry/etcd.py
@@ -89,12 +89,12 @@
     return b"\x00"
 
 
-def range_of(prefix: bytes) -> bytes:
+def range_request(prefix: bytes) -> bytes:
     """Returns the request body for all keys with the prefix as they are now."""
     return msgspec.json.encode({"key": prefix, "range_end": prefix_end(prefix)})
 
 
-def watch_of(prefix: bytes, since: int) -> bytes:
+def watch_request(prefix: bytes, since: int) -> bytes:
     """Returns the request body that watches keys with the prefix from revision `since` on, with progress
     notifications."""
     create = {
@@ -135,7 +135,7 @@
     return answer
 
 
-def read_news(line: bytes) -> WatchResponse | Failed:
+def read_watch_response(line: bytes) -> WatchResponse | Failed:
     """Parses one line of a watch.
 
     Raises `BadAnswer`, also if the events' revisions decrease or are higher than the header's.
@@ -163,7 +163,7 @@
     return response
 
 
-def read_failed(data: bytes) -> Failed:
+def read_error(data: bytes) -> Failed:
     """Parses the body of an answer whose status is not 200. A body that can't be parsed becomes the message,
     cut to 200 bytes."""
     try:
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -5,7 +5,7 @@
 
 | state | meaning | ends with |
 | --- | --- | --- |
-| away | no request is open; a retry delay is running | `due` |
+| away | no request is open; a retry delay is running | `start_request` |
 | reading | a full read was requested | its answer, an error, a lost connection |
 | watching | a watch from `revision` + 1 was requested | cancelled, compacted, a lost connection |
 """
@@ -33,12 +33,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Read:
+class RequestRead:
     """Action: request all keys as they are now."""
 
 
 @dataclass(slots=True, frozen=True)
-class Watch:
+class RequestWatch:
     """Action: request every change from the revision `since` on."""
 
     since: int
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Wait:
-    """Action: call `due` after `length` nanoseconds."""
+    """Action: call `start_request` after `length` nanoseconds."""
 
     length: int
 
@@ -67,13 +67,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Vouch:
+class ConfirmUnchanged:
     """Action: record that nothing changed up to `revision`, so that the content held is current."""
 
     revision: int
 
 
-Do = Read | Watch | Wait | Apply | Vouch
+Action = RequestRead | RequestWatch | Wait | Apply | ConfirmUnchanged
 
 
 @dataclass(slots=True)
@@ -119,18 +119,18 @@
         self._recent_events: OrderedDict[tuple[bytes, int], None] = OrderedDict()
         self._needs_read = True  # otherwise the watch resumes after `revision`
 
-    def due(self) -> list[Do]:
+    def start_request(self) -> list[Action]:
         """Starts the next request: at the start, and when a `Wait` has passed."""
         self._fragments.clear()
         if self._needs_read:
             self.state = READING
             self.counts.reads += 1
-            return [Read()]
+            return [RequestRead()]
         self.state = WATCHING
         self.counts.watches += 1
-        return [Watch(self.revision + 1)]
+        return [RequestWatch(self.revision + 1)]
 
-    def broken(self, chance: float) -> list[Do]:
+    def on_connection_lost(self, chance: float) -> list[Action]:
         """Handles a lost connection, an illegal answer or a timeout.
 
         `chance`: a random number from 0 to 1 that spreads the retry delay.
@@ -142,19 +142,19 @@
         self._retry_delay = min(2 * self._retry_delay, self.most)
         return [Wait(length)]
 
-    def failed(self, error: Failed, chance: float) -> list[Do]:
+    def on_error(self, error: Failed, chance: float) -> list[Action]:
         """Handles an error answer. A compacted watch is followed by a full read at once; after any other
-        error the follower waits as in `broken`."""
+        error the follower waits as in `on_connection_lost`."""
         if error.compacted and self.state == WATCHING:
             return self._restart_with_read()
-        return self.broken(chance)
+        return self.on_connection_lost(chance)
 
-    def _restart_with_read(self) -> list[Do]:
+    def _restart_with_read(self) -> list[Action]:
         self.counts.compacted += 1
         self._needs_read = True
-        return self.due()
+        return self.start_request()
 
-    def read(self, answer: Range) -> list[Do]:
+    def on_read(self, answer: Range) -> list[Action]:
         """Applies the differences between a full read and the content held, then watches from there on.
 
         Raises `BadAnswer` for an answer that was not requested or is not complete.
@@ -180,7 +180,7 @@
         self.cluster, self.revision = answer.header.cluster_id, answer.header.revision
         self.counts.applied += len(changes)
         self._needs_read, self._retry_delay = False, self.least
-        return [Apply(tuple(changes), self.revision, True, strange), *self.due()]
+        return [Apply(tuple(changes), self.revision, True, strange), *self.start_request()]
 
     def _difference(self, cluster: int, revision: int) -> str:
         """How an answer shows another registry or an older copy of it; empty if it does not."""
@@ -190,12 +190,12 @@
             return f"revision {revision} after {self.revision}"
         return ""
 
-    def news(self, response: WatchResponse, chance: float) -> list[Do]:
+    def on_watch_message(self, response: WatchResponse, chance: float) -> list[Action]:
         """Handles one message of the watch. Raises `BadAnswer` if it was not requested or is too long."""
         if self.state != WATCHING:
             raise BadAnswer("watch: a message of a watch that was not requested")
         if response.canceled:
-            return self._restart_with_read() if response.compact_revision else self.broken(chance)
+            return self._restart_with_read() if response.compact_revision else self.on_connection_lost(chance)
         if self._difference(response.header.cluster_id, response.header.revision):
             # Another registry or an older copy answers: its changes don't follow on the content held.
             return self._restart_with_read()
@@ -210,7 +210,7 @@
         events, self._fragments = [*self._fragments, *response.events], []
         if not events:
             self.revision = max(self.revision, response.header.revision)
-            return [Vouch(self.revision)]
+            return [ConfirmUnchanged(self.revision)]
         changes: list[Change] = []
         before = self.revision
         self.revision = max(before, events[-1].kv.mod_revision)
@@ -234,6 +234,6 @@
             self._recent_events.popitem(last=False)
         return self._apply(changes)
 
-    def _apply(self, changes: list[Change]) -> list[Do]:
+    def _apply(self, changes: list[Change]) -> list[Action]:
         self.counts.applied += len(changes)
         return [Apply(tuple(changes), self.revision)] if changes else []
--- a/peattrestle/settings/schema.py
+++ b/peattrestle/settings/schema.py
@@ -77,7 +77,7 @@
     )
 
 
-def whole(default: Any, minimum: int, maximum: int, description: str) -> Any:
+def integer(default: Any, minimum: int, maximum: int, description: str) -> Any:
     """Declares an integer within bounds."""
     return _setting(SettingType("whole", description, minimum, maximum), default)
 
@@ -112,12 +112,12 @@
     return _setting(SettingType("choice", description, choices=choices), default)
 
 
-def wholes(default: Any, minimum: int, maximum: int, description: str) -> Any:
+def integers(default: Any, minimum: int, maximum: int, description: str) -> Any:
     """Declares a list of integers within bounds."""
     return _setting(SettingType("wholes", description, minimum, maximum), default)
 
 
-def texts(default: Any, choices: tuple[str, ...], description: str) -> Any:
+def strings(default: Any, choices: tuple[str, ...], description: str) -> Any:
     """Declares a list of strings, each one of `choices` unless that is empty."""
     return _setting(SettingType("texts", description, choices=choices), default)
 
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from peattrestle.h248 import package
-from peattrestle.h248.package import SetUpAsked
+from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import BadPeer, Session
-from peattrestle.h248.transactions import Answered, New, Stray, Transactions
+from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
 from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
 from peattrestle.standin.record import Record
 
@@ -216,9 +216,9 @@
                 for event in session.feed(self.kernel.now(), data):
                     if isinstance(event, Answered):
                         self.handle_reply(event)
-                    elif isinstance(event, New):
+                    elif isinstance(event, NewRequest):
                         self.handle_request(event)
-                    elif isinstance(event, Stray) and event.id in self.terminations:
+                    elif isinstance(event, UnknownTransaction) and event.id in self.terminations:
                         self.record.add(
                             self.kernel.now(),
                             "answered",
@@ -253,7 +253,7 @@
         self.session = self.stream = None
         self.ready = False
         self.bucket = LeakyBucket()  # notices apply to one connection only
-        self.transactions.lost()
+        self.transactions.close_all()
         for attempt in [attempt for attempt in self.attempts.values() if attempt.state == "ending"]:
             self.pending_releases.append(attempt.termination)
             self.finish(attempt)
@@ -359,7 +359,7 @@
         self.attempt_count += 1
         call.tries += 1
         termination = f"c/{self.attempt_count}"
-        request = SetUpAsked(
+        request = SetUpRequest(
             termination,
             call.bearer_type,
             call.destination,
@@ -391,7 +391,7 @@
         is_late = self.kernel.now() - call.first_at > self.bearer(call).gos_target
         return 0.0 if is_late else 2.0
 
-    def resend(self, attempt: Attempt, request: SetUpAsked) -> None:
+    def resend(self, attempt: Attempt, request: SetUpRequest) -> None:
         """Sends the same request again, as on a lossy network; the reply may come twice, unchanged."""
         if self.session is not None and attempt.state in ("asked", "stands"):
             self.record.add(self.kernel.now(), "repeated", self.name, self.agent, attempt.termination)
@@ -425,7 +425,7 @@
                     self.on_established(pending)
                 else:
                     self.finish(pending)
-                    self.redial(pending.call, outcome.come_back)
+                    self.redial(pending.call, outcome.retry_after)
         elif isinstance(pending, str) and pending in self.attempts:
             attempt = self.attempts[pending]
             self.record.add(now, "confirmed", self.name, self.agent, pending)
@@ -477,7 +477,7 @@
         attempt.state = "over"
         self.attempts.pop(attempt.termination, None)
 
-    def handle_request(self, event: New) -> None:
+    def handle_request(self, event: NewRequest) -> None:
         """Handles a request from the agent: a rate notice, or that a call was cut."""
         first_command = package.first_command(event.request.actions)
         assert first_command is not None and self.session is not None
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -12,10 +12,10 @@
 from functools import partial
 
 from peattrestle.h248 import package
-from peattrestle.h248.package import BadValue, Outcome, SetUpAsked
+from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
 from peattrestle.h248.session import BadPeer, Session
 from peattrestle.h248.text import Action, Command, Malformed, Request
-from peattrestle.h248.transactions import Answered, New, Stray, Transactions
+from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
 from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
 from peattrestle.standin.fabric import Fabric, Group, SocketFaults
 from peattrestle.standin.processor import Processor
@@ -31,7 +31,7 @@
 
     agent: str
     transaction_id: int
-    request: SetUpAsked
+    request: SetUpRequest
     context: int
     state: str = "working"
     has_circuits: bool = False
@@ -103,13 +103,13 @@
         exchange = self.exchange
         exchange.received_at, exchange.time_uncertain = received_at, received_at < self.uncertain_until
         for event in self.session.feed(exchange.kernel.now(), data):
-            if isinstance(event, New) and self.peer is not None:
+            if isinstance(event, NewRequest) and self.peer is not None:
                 exchange.handle_request(self, self.peer, event.request)
             elif isinstance(event, Answered) and isinstance(event.kept, ExchangeCall):
                 exchange.handle_onward_reply(event.kept, package.read_outcome(event.reply))
             elif isinstance(event, Answered) and isinstance(event.kept, str) and self.peer is not None:
-                exchange.handle_release_reply(self.peer, event.kept, package.refusal(event.reply))
-            elif isinstance(event, Stray) and self.peer is not None:
+                exchange.handle_release_reply(self.peer, event.kept, package.reply_error_code(event.reply))
+            elif isinstance(event, UnknownTransaction) and self.peer is not None:
                 exchange.handle_stray_reply(self.peer, event.id)
 
     def is_reachable(self) -> bool:
@@ -194,7 +194,7 @@
             return
         peer.connection = None
         exchange.fabric.record.add(exchange.kernel.now(), "lost", exchange.name, peer.name, text=reason)
-        for pending in peer.transactions.lost():
+        for pending in peer.transactions.close_all():
             if isinstance(pending, ExchangeCall):
                 exchange.handle_onward_lost(peer, pending)
             elif isinstance(pending, str):
@@ -383,7 +383,7 @@
                     "$",
                     "Add",
                     command.termination,
-                    (package.TWICE, "the termination is in a context"),
+                    (package.ALREADY_IN_CONTEXT, "the termination is in a context"),
                 ),
             )
             return
@@ -492,7 +492,7 @@
             self.end_call(peer, call, after_work=True)
         statistics = ",".join(
             f"{name}={self.load(peer.number)[key]:.10g}"
-            for name, key in package.LOAD.items()
+            for name, key in package.LOAD_STATISTICS.items()
             if key in self.load(peer.number)
         )
         self.reply(
@@ -551,7 +551,7 @@
         request = call.request
         self.onward_count += 1
         call.state, call.onward_termination = "onward", f"n/{self.name}/{self.onward_count}"
-        onward_request = SetUpAsked(
+        onward_request = SetUpRequest(
             call.onward_termination,
             request.bearer_type,
             request.destination,
@@ -626,7 +626,7 @@
         self.fabric.record.add(self.kernel.now(), "confirmed", self.name, peer.name, termination)
         for transaction_id, request in list(peer.transactions.open.items()):
             if isinstance(request, ExchangeCall) and request.onward_termination == termination:
-                peer.transactions.give_up(transaction_id)
+                peer.transactions.close(transaction_id)
 
     def handle_onward_lost(self, peer: AgentPeer, call: ExchangeCall) -> None:
         """Handles a transit set-up whose connection was lost before its answer."""
--- a/peattrestle/storms/shares.py
+++ b/peattrestle/storms/gateway_admission.py
@@ -53,7 +53,7 @@
     def offered(self, now: int) -> float:
         return sum(counter.rate(now) for counter in self.counters.values())
 
-    def divide(self, now: int, share: float) -> None:
+    def set_share(self, now: int, share: float) -> None:
         """Limits the admitted calls to `share` calls per second, those of the highest revenue first.
 
         Calls of the revenue at which the share is used up are admitted with the probability that remains.
@@ -65,7 +65,7 @@
             remaining = max(0.0, remaining - rate)
 
 
-class Door:
+class GatewayAdmission:
     """Limits gateways to their shares while many of the calls admitted here are refused by the controller.
 
     A gateway is limited for one of two reasons. Either all gateways together offer more than
@@ -91,31 +91,31 @@
         self.demands: dict[str, Demand] = {}
         self.usual_rates: dict[str, float] = {}  # calls per second by gateway, while none was limited
         self.rate_limits: dict[str, float] = {}  # calls per second by gateway, while any is limited
-        self.stands, self.admitted, self.refused_calls = (
+        self.answered, self.admitted, self.refused_calls = (
             DecayingCounter(2 * SECOND),
             DecayingCounter(HALF_LIFE),
             DecayingCounter(HALF_LIFE),
         )
-        self.held = False
+        self.is_limiting = False
         self.turned_away = 0
         self._best_rate, self._best_at = 0.0, 0
         self._threshold_passed_at = -1
         self._next_update_at = 0
 
-    def stood(self, now: int) -> None:
+    def count_answered(self, now: int) -> None:
         """Counts a call that was answered."""
-        self.stands.add(now)
+        self.answered.add(now)
 
-    def refused(self, now: int) -> None:
+    def count_refused(self, now: int) -> None:
         """Counts a call that was admitted here and refused by the controller."""
         self.refused_calls.add(now)
 
-    def gone(self, gateway: str) -> None:
+    def remove_gateway(self, gateway: str) -> None:
         """Forgets a gateway whose connection has ended; its share goes to the others at once."""
         self.demands.pop(gateway, None)
         self.rate_limits.pop(gateway, None)
 
-    def lets(self, now: int, gateway: str, revenue: float, draw: float) -> bool:
+    def admits(self, now: int, gateway: str, revenue: float, draw: float) -> bool:
         """Counts a call of `gateway` and decides whether to admit it.
 
         revenue: expected revenue relative to the mean. draw: random number in [0, 1).
@@ -124,8 +124,8 @@
         if demand is None:
             demand = self.demands[gateway] = Demand()
         demand.add(now, revenue)
-        self.look(now)
-        if self.held and draw >= demand.admission_probability.get(revenue, 1.0):
+        self.update(now)
+        if self.is_limiting and draw >= demand.admission_probability.get(revenue, 1.0):
             self.turned_away += 1
             return False
         self.admitted.add(now)
@@ -134,10 +134,10 @@
     def max_rate(self, now: int) -> float:
         """Calls per second of all gateways; what is offered above that can only be repeats."""
         self._best_rate *= 0.5 ** ((now - self._best_at) / self.BEST_RATE_HALF_LIFE)
-        self._best_rate, self._best_at = max(self._best_rate, self.stands.rate(now)), now
+        self._best_rate, self._best_at = max(self._best_rate, self.answered.rate(now)), now
         return max(self.MIN_RATE, self.MAX_OVERLOAD_FACTOR * self._best_rate)
 
-    def look(self, now: int) -> None:
+    def update(self, now: int) -> None:
         """Updates the state and the shares, once per `UPDATE_INTERVAL`.
 
         The work grows with the number of gateways.
@@ -147,7 +147,7 @@
         self._next_update_at = now + self.UPDATE_INTERVAL
         admitted = self.admitted.rate(now)
         share = self.refused_calls.rate(now) / max(1e-9, admitted)
-        if self.held:
+        if self.is_limiting:
             # Without calls the share does not change, so a low rate of calls ends the limits as well.
             past_threshold, min_duration = (
                 share < self.END_SHARE or admitted < self.MIN_RATE / 2,
@@ -163,10 +163,10 @@
         elif self._threshold_passed_at < 0:
             self._threshold_passed_at = now
         if self._threshold_passed_at >= 0 and now - self._threshold_passed_at >= min_duration:
-            self.held, self._threshold_passed_at = not self.held, -1
+            self.is_limiting, self._threshold_passed_at = not self.is_limiting, -1
         offered = {name: demand.offered(now) for name, demand in self.demands.items()}
         max_rate = self.max_rate(now)
-        if self.held:
+        if self.is_limiting:
             self._divide(now, offered, max_rate)
         else:
             self._learn_usual_rates(offered)
@@ -196,12 +196,12 @@
                 self.PEER_GROWTH_FACTOR * others_growth * weights[name] if len(offered) > 1 else rate
             )
             share = min(shares[name], max(min_shares[name], growth_share))
-            self.demands[name].divide(now, share)
+            self.demands[name].set_share(now, share)
             # A gateway that is not limited more than by the total is told its weighted part of the total. If
             # that followed from what it offers now, its limit would shrink with each notice it keeps to.
             whole_part = 0.0 if share < shares[name] else max_rate * weights[name] / total_weight
             self.rate_limits[name] = max(share, whole_part)
 
-    def notices(self) -> dict[str, float]:
+    def limits_to_announce(self) -> dict[str, float]:
         """Rate in calls per second that each gateway may offer; empty while none is limited."""
         return self.rate_limits
--- a/peattrestle/storms/restarts.py
+++ b/peattrestle/storms/restarts.py
@@ -18,7 +18,7 @@
     return round(gateways / rate * SECOND)
 
 
-class Gate:
+class RestartPacer:
     """Admits restarts at `rate` per second, `burst` at once; each of the others gets a time slot of its own.
 
     At quiet times every restart is admitted at once. Where `max_slots` gateways restart together, the last
@@ -33,7 +33,7 @@
         self.next_at = -(1 << 62)
         self.slots: OrderedDict[str, int] = OrderedDict()
 
-    def comes(self, now: int, gateway: str) -> int:
+    def wait_for(self, now: int, gateway: str) -> int:
         """Asks to admit a restart now: 0 if it is admitted, else nanoseconds after which to ask again."""
         slot = self.slots.get(gateway)
         if slot is not None:
--- a/peattrestle/storms/watch.py
+++ b/peattrestle/storms/storm_detection.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from peattrestle.storms.decaying_statistics import SECOND, DecayingCounter, Histogram
-from peattrestle.storms.sight import FIRST, FURTHER, Seen
+from peattrestle.storms.retry_detection import FIRST, FURTHER, CallerAttempt
 
 RETRY, RETURN, RECONNECT = "retry", "return", "reconnect"
 HALF_LIFE = SECOND  # ns, of the rates: a storm is detected within a second or two
@@ -27,7 +27,7 @@
 class Thresholds:
     """Thresholds of one kind of storm.
 
-    start_share, end_share: fractions, see `Watch.share`.
+    start_share, end_share: fractions, see `StormDetector.share`.
     min_rate: events per second below which no storm starts; a storm ends below half of it.
     start_after, end_after: ns for which a threshold must be passed.
     """
@@ -67,8 +67,8 @@
     passed_at: int = -1  # since when the threshold that would change the state has been passed; -1: it is not
 
 
-class Watch:
-    """Detects storms from every call and connection it is told of; `look` may be called at any interval."""
+class StormDetector:
+    """Detects storms from every call and connection it is told of; `update` may be called at any interval."""
 
     def __init__(self) -> None:
         self.first, self.further = DecayingCounter(HALF_LIFE), DecayingCounter(HALF_LIFE)
@@ -83,7 +83,7 @@
 
     MAX_CUTS = 1000  # gateways
 
-    def cut(self, now: int, gateway: str) -> None:
+    def record_cut(self, now: int, gateway: str) -> None:
         """Remembers that a call of this gateway was cut.
 
         At the limit the gateway whose last cut is longest ago is forgotten.
@@ -93,7 +93,7 @@
         if len(self._last_cuts) > self.MAX_CUTS:
             self._last_cuts.popitem(last=False)
 
-    def call(self, now: int, seen: Seen, gateway: str = "") -> None:
+    def count_call(self, now: int, seen: CallerAttempt, gateway: str = "") -> None:
         """Counts a call by its classification."""
         if seen.kind == FIRST:
             self.first.add(now)
@@ -110,7 +110,7 @@
                 self.returns.add(now, (now - self._last_cuts[gateway]) / SECOND)
         self.tries.add(now, seen.tries)
 
-    def connected(self, now: int, gateways: int, disconnected_for: int) -> None:
+    def count_connection(self, now: int, gateways: int, disconnected_for: int) -> None:
         """Counts a connection of a gateway.
 
         gateways: number of gateways known now. disconnected_for: ns since its last connection ended, -1 for
@@ -149,7 +149,7 @@
         rate = (self.further if kind == RETRY else self.returned).rate(now)
         return rate / max(1e-9, self.offered(now)), rate
 
-    def look(self, now: int) -> list[Storm]:
+    def update(self, now: int) -> list[Storm]:
         """Storms that have started (`ended_at` 0) or ended since the last call."""
         changes = []
         for kind, state in self.states.items():
--- a/peattrestle/wirehost/host.py
+++ b/peattrestle/wirehost/host.py
@@ -30,8 +30,8 @@
     match action:
         case api.SetUp(call, exchange, patience):
             return f"issue Agent={agent} Id={call} Exchange={exchange} MaxWaitUs={patience // US}"
-        case api.Block(call, come_back):
-            return f"say_no Agent={agent} Id={call} StayAwayUs={-(-come_back // US)}"
+        case api.Block(call, retry_after):
+            return f"say_no Agent={agent} Id={call} StayAwayUs={-(-retry_after // US)}"
         case api.Abort(call):
             return f"respond_error Agent={agent} Id={call}"
         case api.SetTimer(at, token):
@@ -122,11 +122,11 @@
         if form is None:
             return None
         if form == "failed":
-            return api.Listed(form)
+            return api.ListUpdated(form)
         set_id = line.required("SetId")
         if set_id not in self.lists:
             raise Malformed(f"no exchange list with SetId={set_id} was given")
-        return api.Listed(form, self.lists[set_id])
+        return api.ListUpdated(form, self.lists[set_id])
 
 
 def main() -> int:
--- a/tests/agent/test_guard.py
+++ b/tests/agent/test_guard.py
@@ -13,9 +13,9 @@
 
 def make_guard() -> Guard:
     guard = Guard(250 * MS, 300 * MS, 1000 * MS, 2.0, 14_000 * MS)
-    guard.told(0, "x1", "ready", 0)
-    guard.told(0, "x2", "ready", 0)
-    guard.arrived(1, 5000 * MS)
+    guard.on_exchange_state(0, "x1", "ready", 0)
+    guard.on_exchange_state(0, "x2", "ready", 0)
+    guard.on_call_arrived(1, 5000 * MS)
     return guard
 
 
@@ -23,34 +23,40 @@
     ("rule", "before", "at", "exchange"),
     [
         ("", lambda guard: None, 10, "x1"),
-        ("rule 1", lambda guard: guard.answer(5 * MS, 1), 10, "x1"),
+        ("rule 1", lambda guard: guard.check_answer(5 * MS, 1), 10, "x1"),
         ("rule 1", lambda guard: None, 5000, "x1"),
-        ("rule 1", lambda guard: guard.over(1), 10, "x1"),
-        ("rule 2", lambda guard: guard.set_up(5 * MS, 1, "x2"), 10, "x1"),
-        ("rule 3", lambda guard: guard.told(5 * MS, "x1", "draining", 0), 256, "x1"),
-        ("", lambda guard: guard.told(5 * MS, "x1", "draining", 0), 255, "x1"),
+        ("rule 1", lambda guard: guard.on_call_over(1), 10, "x1"),
+        ("rule 2", lambda guard: guard.check_set_up(5 * MS, 1, "x2"), 10, "x1"),
+        ("rule 3", lambda guard: guard.on_exchange_state(5 * MS, "x1", "draining", 0), 256, "x1"),
+        ("", lambda guard: guard.on_exchange_state(5 * MS, "x1", "draining", 0), 255, "x1"),
         (
             "rule 3",
-            lambda guard: (guard.told(5 * MS, "x1", "gone", 0), guard.told(200 * MS, "x1", "draining", 0)),
+            lambda guard: (
+                guard.on_exchange_state(5 * MS, "x1", "gone", 0),
+                guard.on_exchange_state(200 * MS, "x1", "draining", 0),
+            ),
             256,
             "x1",
         ),
         (
             "",
-            lambda guard: (guard.told(0, "x1", "gone", 0), guard.told(200 * MS, "x1", "ready", 0)),
+            lambda guard: (
+                guard.on_exchange_state(0, "x1", "gone", 0),
+                guard.on_exchange_state(200 * MS, "x1", "ready", 0),
+            ),
             900,
             "x1",
         ),
         ("rule 3", lambda guard: None, 10, "x9"),
-        ("rule 5", lambda guard: guard.try_ended(5 * MS, 1, True), 304, "x1"),
-        ("", lambda guard: guard.try_ended(5 * MS, 1, True), 305, "x1"),
-        ("", lambda guard: guard.try_ended(5 * MS, 1, False), 6, "x1"),
+        ("rule 5", lambda guard: guard.on_try_ended(5 * MS, 1, True), 304, "x1"),
+        ("", lambda guard: guard.on_try_ended(5 * MS, 1, True), 305, "x1"),
+        ("", lambda guard: guard.on_try_ended(5 * MS, 1, False), 6, "x1"),
     ],
 )
 def test_set_ups(rule: str, before: Callable[[Guard], object], at: int, exchange: str) -> None:
     guard = make_guard()
     before(guard)
-    violation = guard.set_up(at * MS, 1, exchange)
+    violation = guard.check_set_up(at * MS, 1, exchange)
     assert violation.startswith(rule) and bool(violation) == bool(rule)
     assert sum(guard.refusals.values()) == bool(rule)
 
@@ -59,18 +65,18 @@
 def test_answers(at: int, times: int, refused: int) -> None:
     guard = make_guard()
     for _ in range(times):
-        guard.answer(at * MS, 1)
+        guard.check_answer(at * MS, 1)
     assert sum(guard.refusals.values()) == refused
 
 
 def test_one_agent_alone_does_not_overload_a_cold_exchange() -> None:
     guard = make_guard()
     guard.carried = 5 / (1000 * MS)  # five set-ups a second; the limit is twice that
-    guard.told(0, "x1", "ready", 1 * MS)
+    guard.on_exchange_state(0, "x1", "ready", 1 * MS)
     violations = []
     for call in range(2, 20):
-        guard.arrived(call, 60_000 * MS)
-        violations.append(guard.set_up((100 + call) * MS, call, "x1"))
+        guard.on_call_arrived(call, 60_000 * MS)
+        violations.append(guard.check_set_up((100 + call) * MS, call, "x1"))
     assert [bool(violation) for violation in violations] == [False] * 10 + [True] * 8
-    guard.arrived(50, 60_000 * MS)
-    assert guard.set_up(2000 * MS, 50, "x1") == ""
+    guard.on_call_arrived(50, 60_000 * MS)
+    assert guard.check_set_up(2000 * MS, 50, "x1") == ""
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -5,18 +5,18 @@
 import pytest
 
 from peattrestle.h248 import package, text
-from peattrestle.h248.package import BadValue, Outcome, SetUpAsked
-from peattrestle.h248.session import BadPeer, Garbled, Session
+from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
+from peattrestle.h248.session import BadPeer, MalformedMessage, Session
 from peattrestle.h248.tpkt import BadFrame, Framer, frame
 from peattrestle.h248.transactions import (
     LONG_TIMER,
     Answered,
     Duplicate,
-    New,
+    NewRequest,
     StillPending,
-    Stray,
     TooManyOpenRequests,
     Transactions,
+    UnknownTransaction,
 )
 
 REQUEST = text.Request(5, [text.Action("-", [text.Command("AuditValue", "ROOT")])])
@@ -49,7 +49,7 @@
 
 def test_a_repeated_request_is_carried_out_once() -> None:
     peer = Transactions()
-    assert peer.receive(0, REQUEST) == New(REQUEST)
+    assert peer.receive(0, REQUEST) == NewRequest(REQUEST)
     assert peer.receive(1, REQUEST) == Duplicate("Pending=5{}")  # still being carried out
     peer.answer(5, "Reply=5{...}")
     assert peer.receive(2, REQUEST) == Duplicate("Reply=5{...}")
@@ -58,7 +58,7 @@
         peer.answer(5, "another")
     peer.receive(3, text.Ack([(1, 9)]))
     assert peer.receive(4, REQUEST) is None  # acknowledged: nothing to send, nothing to do
-    assert peer.receive(2 * LONG_TIMER, REQUEST) == New(REQUEST)  # kept for the long timer, no longer
+    assert peer.receive(2 * LONG_TIMER, REQUEST) == NewRequest(REQUEST)  # kept for the long timer, no longer
 
 
 def test_a_request_still_being_carried_out_is_not_forgotten() -> None:
@@ -74,12 +74,12 @@
     assert ids == [(1 << 32) - 2, (1 << 32) - 1, 1]  # 0 is no id
     reply = text.Reply(ids[2])
     assert peer.receive(0, reply) == Answered("c", reply)
-    assert peer.receive(0, reply) == Stray(1)  # a second time
+    assert peer.receive(0, reply) == UnknownTransaction(1)  # a second time
     assert peer.receive(0, text.Pending(ids[0])) == StillPending("a")
-    peer.give_up(ids[0])
-    assert peer.receive(0, text.Reply(ids[0])) == Stray(ids[0])
-    assert peer.lost() == ["b"]
-    assert peer.receive(0, text.Reply(ids[1])) == Stray(ids[1])
+    peer.close(ids[0])
+    assert peer.receive(0, text.Reply(ids[0])) == UnknownTransaction(ids[0])
+    assert peer.close_all() == ["b"]
+    assert peer.receive(0, text.Reply(ids[1])) == UnknownTransaction(ids[1])
 
 
 def test_limits_of_transactions() -> None:
@@ -120,7 +120,7 @@
 def test_a_malformed_message_is_answered_and_the_next_one_is_read(body: str, answer: str) -> None:
     session, sent = make_session()
     events = session.feed(0, message(body) + message("Transaction=10{Context=-{AuditValue=ROOT}}"))
-    assert isinstance(events[0], Garbled) and isinstance(events[1], New)
+    assert isinstance(events[0], MalformedMessage) and isinstance(events[1], NewRequest)
     assert (
         answer.split("{")[0] in sent[0].decode() and answer.split('"')[-1].split(",")[0] in sent[0].decode()
     )
@@ -152,7 +152,7 @@
     assert answers[0] == answers[1] and len(answers[0]) == 1
 
 
-REQUEST_PARAMETERS = SetUpAsked(
+REQUEST_PARAMETERS = SetUpRequest(
     "c/1", "reel-render", 57, 3_600_000_000, "dn.k 2", 2, 9, True, True, True, "team", "g1/1", 3
 )
 
@@ -200,10 +200,10 @@
     part = text.parse(b"MEGACO/1 x " + package.outcome_text(3, "c/1", outcome).encode()).parts[0]
     assert isinstance(part, text.Reply)
     read = package.read_outcome(part)
-    assert (read.code, read.cause, read.come_back, read.wait) == (
+    assert (read.code, read.cause, read.retry_after, read.wait) == (
         outcome.code,
         outcome.cause,
-        outcome.come_back,
+        outcome.retry_after,
         outcome.wait,
     )
     assert (read.load or {}) == (outcome.load or {})
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -46,7 +46,7 @@
         self.now = 0
         self.tries: dict[int, int] = {}
         self.handle_at(
-            0, api.Listed("cached", tuple(api.Entry(f"x{n}", n, "ready") for n in range(exchanges)))
+            0, api.ListUpdated("cached", tuple(api.Entry(f"x{n}", n, "ready") for n in range(exchanges)))
         )
         for number in range(1, exchanges):
             self.report_free(number, (free or {}).get(number, 30))
@@ -57,7 +57,7 @@
 
     def report_free(self, number: int, free: int) -> None:
         load = {"free": free, "size": 30}
-        assert self.handle_at(self.now / MS, api.Reported(f"x{number}", "served", 0, load)) == []
+        assert self.handle_at(self.now / MS, api.LoadReported(f"x{number}", "served", 0, load)) == []
 
     def call(
         self, ms: float, call: int, to: int = 1, patience: float = 3000, **overrides: Any
@@ -74,11 +74,11 @@
         )
 
     def answered(self, ms: float, call: int, number: int, delay: float = 50) -> list[api.Action]:
-        return self.handle_at(ms, api.Stood(call, f"x{number}", int(delay * MS), 0))
+        return self.handle_at(ms, api.TryAnswered(call, f"x{number}", int(delay * MS), 0))
 
     def set_state(self, ms: float, number: int, state: str, started: float = 0) -> list[api.Action]:
         entry = api.Entry(f"x{number}", number, state, int(started * MS))
-        return self.handle_at(ms, api.Listed("delta", (entry,)))
+        return self.handle_at(ms, api.ListUpdated("delta", (entry,)))
 
 
 def set_up_routes(actions: list[api.Action]) -> list[str]:
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -8,7 +8,17 @@
 
 from peattrestle.registry import etcd
 from peattrestle.registry.etcd import Event, Failed, Header, KeyValue, Range, WatchResponse
-from peattrestle.registry.follower import AWAY, WATCHING, Apply, Change, Follower, Read, Vouch, Wait, Watch
+from peattrestle.registry.follower import (
+    AWAY,
+    WATCHING,
+    Apply,
+    Change,
+    ConfirmUnchanged,
+    Follower,
+    RequestRead,
+    RequestWatch,
+    Wait,
+)
 from peattrestle.registry.http import BadAnswer
 
 
@@ -77,21 +87,21 @@
         self.random = random.Random(seed)
         self.registry, self.follower, self.applied = Registry(), Follower(), AppliedChanges()
         self.sent = 0  # the last revision sent to the watch
-        self.perform(self.follower.due())
+        self.perform(self.follower.start_request())
 
     def perform(self, actions: list) -> None:  # type: ignore[type-arg]
         for action in actions:
             match action:
-                case Read():
+                case RequestRead():
                     self.pending_read = self.registry.range() if self.random.random() < 0.9 else None
-                case Watch(since):
+                case RequestWatch(since):
                     if self.registry.since(since) is None:
                         self.watch_compacted = True
                     self.sent = since - 1
                     self.undelivered = [WatchResponse(self.registry.header(), created=True)]
                 case Apply():
                     self.applied.apply(action)
-                case Wait() | Vouch():
+                case Wait() | ConfirmUnchanged():
                     pass
 
     pending_read: Range | None = None
@@ -102,18 +112,18 @@
         """Delivers what is pending, or loses the connection."""
         chance = self.random.random()
         if self.follower.state == AWAY:
-            self.perform(self.follower.due())
+            self.perform(self.follower.start_request())
         elif self.follower.state == WATCHING:
             if self.watch_compacted:
                 self.watch_compacted = False
                 cancel = WatchResponse(
                     self.registry.header(), canceled=True, compact_revision=self.registry.compacted
                 )
-                self.perform(self.follower.news(cancel, chance))
+                self.perform(self.follower.on_watch_message(cancel, chance))
                 return
             if chance < 0.1:
                 self.undelivered = []
-                self.perform(self.follower.broken(chance))
+                self.perform(self.follower.on_connection_lost(chance))
                 return
             events = self.registry.since(self.sent + 1)
             if events is None:
@@ -129,10 +139,12 @@
             responses, self.undelivered = self.undelivered, []
             for response in responses:
                 if self.follower.state == WATCHING:
-                    self.perform(self.follower.news(response, chance))
+                    self.perform(self.follower.on_watch_message(response, chance))
         else:
             answer, self.pending_read = self.pending_read, None
-            self.perform(self.follower.broken(chance) if answer is None else self.follower.read(answer))
+            self.perform(
+                self.follower.on_connection_lost(chance) if answer is None else self.follower.on_read(answer)
+            )
 
     def change_registry(self) -> None:
         key = f"/x/{self.random.randrange(8)}".encode()
@@ -168,8 +180,8 @@
 def watching_follower(registry: Registry) -> Follower:
     """A follower that has read the whole registry and watches it."""
     follower = Follower()
-    assert follower.due() == [Read()]
-    follower.read(registry.range())
+    assert follower.start_request() == [RequestRead()]
+    follower.on_read(registry.range())
     return follower
 
 
@@ -180,12 +192,12 @@
     registry.put(b"/x/1", b"b")
     registry.put(b"/x/2", b"c")
     first, second = registry.history[-2:]
-    assert follower.news(WatchResponse(registry.header(), events=[second]), 0.5) == [
+    assert follower.on_watch_message(WatchResponse(registry.header(), events=[second]), 0.5) == [
         Apply((Change(b"/x/2", b"c", 4, 4),), 4)
     ]
-    assert follower.news(WatchResponse(registry.header(), events=[first]), 0.5) == [Read()]
-    (apply, watch) = follower.read(registry.range())
-    assert apply == Apply((Change(b"/x/1", b"b", 3, 2),), 4, True) and watch == Watch(5)
+    assert follower.on_watch_message(WatchResponse(registry.header(), events=[first]), 0.5) == [RequestRead()]
+    (apply, watch) = follower.on_read(registry.range())
+    assert apply == Apply((Change(b"/x/1", b"b", 3, 2),), 4, True) and watch == RequestWatch(5)
 
 
 @pytest.mark.parametrize(
@@ -199,8 +211,8 @@
     follower = watching_follower(registry)
     other = Registry(change.get("cluster", 7))
     other.revision = change.get("revision", 50)
-    assert follower.news(WatchResponse(other.header(), created=True), 0.5) == [Read()]
-    apply = follower.read(other.range())[0]
+    assert follower.on_watch_message(WatchResponse(other.header(), created=True), 0.5) == [RequestRead()]
+    apply = follower.on_read(other.range())[0]
     assert isinstance(apply, Apply) and apply.strange == strange
     assert [(each.key, each.value) for each in apply.changes] == [
         (f"/x/{number}".encode(), None) for number in range(3)
@@ -212,29 +224,31 @@
     follower = watching_follower(registry)
     for key in (b"/x/1", b"/x/2"):
         registry.put(key, b"a")
-    follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
+    follower.on_watch_message(WatchResponse(registry.header(), events=registry.history), 0.5)
     copy = Registry()  # restored from a backup older than both changes
-    assert follower.news(WatchResponse(copy.header(), created=True), 0.5) == [Read()]
-    follower.read(copy.range())
+    assert follower.on_watch_message(WatchResponse(copy.header(), created=True), 0.5) == [RequestRead()]
+    follower.on_read(copy.range())
     for key in (b"/x/1", b"/x/2"):
         copy.put(key, b"b")
-    follower.news(WatchResponse(copy.header(), events=copy.history[1:]), 0.5)
+    follower.on_watch_message(WatchResponse(copy.header(), events=copy.history[1:]), 0.5)
     # The first event arrives out of order. The same key and revision was applied before, but in the
     # history of the other registry, so it must not pass for a repeated event.
-    assert follower.news(WatchResponse(copy.header(), events=copy.history[:1]), 0.5) == [Read()]
+    assert follower.on_watch_message(WatchResponse(copy.header(), events=copy.history[:1]), 0.5) == [
+        RequestRead()
+    ]
 
 
 def test_a_created_message_confirms_nothing_and_a_progress_message_does() -> None:
     registry = Registry()
     follower = watching_follower(registry)
     registry.put(b"/x/1", b"a")  # between the read and the watch
-    assert follower.news(WatchResponse(registry.header(), created=True), 0.5) == []
-    follower.broken(0.5)
-    assert follower.due() == [Watch(2)]  # not 3: nothing was delivered
-    follower.news(WatchResponse(registry.header(), events=registry.history), 0.5)
-    assert follower.news(WatchResponse(Header(7, 1, 9)), 0.5) == [Vouch(9)]
-    follower.broken(0.5)
-    assert follower.due() == [Watch(10)]
+    assert follower.on_watch_message(WatchResponse(registry.header(), created=True), 0.5) == []
+    follower.on_connection_lost(0.5)
+    assert follower.start_request() == [RequestWatch(2)]  # not 3: nothing was delivered
+    follower.on_watch_message(WatchResponse(registry.header(), events=registry.history), 0.5)
+    assert follower.on_watch_message(WatchResponse(Header(7, 1, 9)), 0.5) == [ConfirmUnchanged(9)]
+    follower.on_connection_lost(0.5)
+    assert follower.start_request() == [RequestWatch(10)]
 
 
 def test_fragments_are_applied_together_or_not_at_all() -> None:
@@ -243,14 +257,20 @@
     registry.put(b"/x/1", b"a")
     registry.put(b"/x/2", b"b")
     assert (
-        follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
+        follower.on_watch_message(
+            WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5
+        )
+        == []
     )
-    follower.broken(0.5)
-    assert follower.due() == [Watch(2)]
+    follower.on_connection_lost(0.5)
+    assert follower.start_request() == [RequestWatch(2)]
     assert (
-        follower.news(WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5) == []
+        follower.on_watch_message(
+            WatchResponse(registry.header(), events=registry.history[:1], fragment=True), 0.5
+        )
+        == []
     )
-    (apply,) = follower.news(WatchResponse(registry.header(), events=registry.history[1:]), 0.5)
+    (apply,) = follower.on_watch_message(WatchResponse(registry.header(), events=registry.history[1:]), 0.5)
     assert isinstance(apply, Apply) and len(apply.changes) == 2
 
 
@@ -259,23 +279,23 @@
     follower = watching_follower(registry)
     waits = []
     for chance in (0.0, 1.0, 0.0, 1.0):
-        (wait,) = follower.broken(chance)
+        (wait,) = follower.on_connection_lost(chance)
         assert isinstance(wait, Wait)
         waits.append(wait.length)
-        follower.due()
+        follower.start_request()
     assert waits == [follower.least // 2, 2 * follower.least, 2 * follower.least, 8 * follower.least]
-    follower.news(WatchResponse(registry.header()), 0.5)
-    (wait,) = follower.broken(1.0)
+    follower.on_watch_message(WatchResponse(registry.header()), 0.5)
+    (wait,) = follower.on_connection_lost(1.0)
     assert wait == Wait(follower.least)
-    follower.due()
+    follower.start_request()
     for _ in range(4):
-        follower.broken(1.0)
-        follower.due()
-    follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
-    follower.read(registry.range())
-    assert follower.broken(1.0) == [Wait(follower.least)]  # a full read restarts them too
-    follower.due()
-    assert follower.failed(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [Read()]
+        follower.on_connection_lost(1.0)
+        follower.start_request()
+    follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
+    follower.on_read(registry.range())
+    assert follower.on_connection_lost(1.0) == [Wait(follower.least)]  # a full read restarts them too
+    follower.start_request()
+    assert follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
 
 
 HEADER = b'"header":{"cluster_id":"1","revision":"5"}'
@@ -291,10 +311,14 @@
         b"{" + HEADER + b',"kvs":[{"key":"YQ==","mod_revision":"6"}]}',
         "revision 6, the header 5",
     ),
-    (etcd.read_news, b"{}", "neither"),
-    (etcd.read_news, b'{"result":{' + HEADER + b',"events":[{"type":"ADD","kv":{"key":"YQ=="}}]}}', "type"),
+    (etcd.read_watch_response, b"{}", "neither"),
+    (
+        etcd.read_watch_response,
+        b'{"result":{' + HEADER + b',"events":[{"type":"ADD","kv":{"key":"YQ=="}}]}}',
+        "type",
+    ),
     (
-        etcd.read_news,
+        etcd.read_watch_response,
         b'{"result":{' + HEADER + b',"events":[{"kv":{"key":"YQ==","mod_revision":"4"}},'
         b'{"kv":{"key":"YQ==","mod_revision":"3"}}]}}',
         "3 after 4",
@@ -309,10 +333,10 @@
 
 
 def test_the_bytes_of_a_watch() -> None:
-    assert etcd.watch_of(b"/x/", 9) == (
+    assert etcd.watch_request(b"/x/", 9) == (
         b'{"create_request":{"key":"L3gv","range_end":"L3gw","start_revision":"9","progress_notify":true}}'
     )
-    response = etcd.read_news(
+    response = etcd.read_watch_response(
         b'{"result":{"header":{"cluster_id":"18446744073709551615","member_id":"2","revision":"12","raft_term":"3"},'
         b'"events":[{"kv":{"key":"L3gvMQ==","create_revision":"10","mod_revision":"11","version":"2","value":"e30="}},'
         b'{"type":"DELETE","kv":{"key":"L3gvMg==","mod_revision":"12"}}]}}'
@@ -324,7 +348,7 @@
         ("PUT", b"/x/1", b"{}", 11),
         ("DELETE", b"/x/2", b"", 12),
     ]
-    failed = etcd.read_news(
+    failed = etcd.read_watch_response(
         b'{"error":{"grpc_code":11,"code":11,"message":"mvcc: required revision has been compacted"}}'
     )
     assert isinstance(failed, Failed) and failed.compacted
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -9,7 +9,7 @@
 
 from peattrestle import interface as api
 from peattrestle.agent.agent import CallAgent
-from peattrestle.calls.core import STOOD, Final
+from peattrestle.calls.core import ANSWERED, Final
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.h248 import package
@@ -38,10 +38,10 @@
 class PermissiveGuard(Guard):
     """A guard that permits everything."""
 
-    def set_up(self, now: int, call: int, exchange: str) -> str:
+    def check_set_up(self, now: int, call: int, exchange: str) -> str:
         return ""
 
-    def answer(self, now: int, call: int) -> str:
+    def check_answer(self, now: int, call: int) -> str:
         return ""
 
 
@@ -58,27 +58,27 @@
             self.controller = CarelessController(self)
 
     def answer(self, call: Any, final: Final) -> None:
-        if self.fault == "late" and final.kind == STOOD and call.id % 5 == 0:
+        if self.fault == "late" and final.kind == ANSWERED and call.id % 5 == 0:
             self.kernel.at(call.abandon_at + 200 * MS, lambda: super(FaultyAgent, self).answer(call, final))
             return
         if self.fault == "never" and call.id % 5 == 0:
-            if call.overdue is not None:
-                call.overdue.cancel()
+            if call.answer_timer is not None:
+                call.answer_timer.cancel()
             return
         super().answer(call, final)
         if self.fault == "twice" and call.id % 5 == 0:
             if self.guarded:
                 super().answer(call, final)
-            elif call.asker.session is not None:
-                outcome = self.worded(call, final)
-                text = package.outcome_text(call.transaction, call.asked.termination, outcome)
-                call.asker.session.send(text)
+            elif call.requester.session is not None:
+                outcome = self.to_outcome(call, final)
+                text = package.outcome_text(call.transaction, call.request.termination, outcome)
+                call.requester.session.send(text)
 
     def set_up(self, action: api.SetUp) -> None:
         super().set_up(action)
         if self.fault == "two tries" and action.call % 5 == 0:
             others = [name for name, link in self.links.items() if link.up and name != action.exchange]
-            other = next(name for name in others if name != self.numbers[self.settings.number])
+            other = next(name for name in others if name != self.exchange_by_number[self.settings.number])
             super().set_up(api.SetUp(action.call, other, action.patience))
 
 
@@ -87,7 +87,10 @@
 
     def __init__(self, agent: CallAgent) -> None:
         self.agent = agent
-        self.sight, self.worth = agent.controller.sight, agent.controller.worth
+        self.retry_detector, self.relative_revenue = (
+            agent.controller.retry_detector,
+            agent.controller.relative_revenue,
+        )
         self.arrivals: dict[int, api.CallArrived] = {}
 
     def handle(self, now: int, events: Any) -> list[api.Action]:
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -12,7 +12,7 @@
 from peattrestle.rehearsal import script
 from peattrestle.rehearsal.play import Player
 from peattrestle.rehearsal.series import Series
-from peattrestle.storms import shares
+from peattrestle.storms import gateway_admission
 
 FOLDER = Path(__file__).parents[2] / "examples" / "storms"
 
@@ -34,12 +34,14 @@
 
 
 def test_congestion_stays_with_storm_protection_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    home = control.Home
-    monkeypatch.setattr(home, "worth", lambda self, asked, seen: self.revenue[asked.bearer_type])
-    monkeypatch.setattr(home, "come_back", lambda self, asked, seen, most: self.target // 3)
-    monkeypatch.setattr(home, "FURTHER", 1.0)
-    monkeypatch.setattr(shares.Demand, "divide", lambda self, now, share: None)
-    monkeypatch.setattr(shares.Door, "notices", lambda self: {})
+    router = control.CallRouter
+    monkeypatch.setattr(
+        router, "relative_revenue", lambda self, arrival, attempt: self.revenue[arrival.bearer_type]
+    )
+    monkeypatch.setattr(router, "retry_delay", lambda self, arrival, attempt, max_delay: self.target // 3)
+    monkeypatch.setattr(router, "RETRY_CREDIT", 1.0)
+    monkeypatch.setattr(gateway_admission.Demand, "set_share", lambda self, now, share: None)
+    monkeypatch.setattr(gateway_admission.GatewayAdmission, "limits_to_announce", lambda self: {})
     assert any(fault.startswith("back to") for fault in faults(FOLDER / "jam.hcl"))
 
 
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from peattrestle.storms.decaying_statistics import DecayingCounter, Histogram
+from peattrestle.storms.gateway_admission import GatewayAdmission, max_min
 from peattrestle.storms.notice import Notices
-from peattrestle.storms.restarts import Gate, waiting_delay
-from peattrestle.storms.shares import Door, max_min
-from peattrestle.storms.sight import FIRST, FURTHER, RETURNED, Seen
-from peattrestle.storms.watch import RECONNECT, RETRY, RETURN, Watch
+from peattrestle.storms.restarts import RestartPacer, waiting_delay
+from peattrestle.storms.retry_detection import FIRST, FURTHER, RETURNED, CallerAttempt
+from peattrestle.storms.storm_detection import RECONNECT, RETRY, RETURN, StormDetector
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -40,17 +40,21 @@
     `seconds`: for each second the number of first, further and returned calls, and of connections (from 20
     gateways).
     """
-    watch, changes = Watch(), []
-    seen = {FIRST: Seen(FIRST, 0), FURTHER: Seen(FURTHER, 0, 2), RETURNED: Seen(RETURNED, 0)}
+    watch, changes = StormDetector(), []
+    seen = {
+        FIRST: CallerAttempt(FIRST, 0),
+        FURTHER: CallerAttempt(FURTHER, 0, 2),
+        RETURNED: CallerAttempt(RETURNED, 0),
+    }
     for second, counts in enumerate(seconds):
         for step in range(20):
             now = second * SECOND + step * 50 * MS
             for kind, count in zip((FIRST, FURTHER, RETURNED), counts[:3], strict=True):
                 for _ in range(count * (step + 1) // 20 - count * step // 20):
-                    watch.call(now, seen[kind])
+                    watch.count_call(now, seen[kind])
             for _ in range(counts[3] * (step + 1) // 20 - counts[3] * step // 20):
-                watch.connected(now, 20, 500 * MS)
-            for storm in watch.look(now):
+                watch.count_connection(now, 20, 500 * MS)
+            for storm in watch.update(now):
                 changes.append((storm.kind, now / SECOND, storm.ended_at > 0))
     return changes
 
@@ -91,10 +95,10 @@
 
 
 def test_a_storm_reports_its_size_and_evidence() -> None:
-    watch = Watch()
+    watch = StormDetector()
     for at in range(0, 4000, 20):
-        watch.call(at * MS, Seen(FURTHER, 0, 3, 1, 500 * MS))
-        watch.look(at * MS)
+        watch.count_call(at * MS, CallerAttempt(FURTHER, 0, 3, 1, 500 * MS))
+        watch.update(at * MS)
     storm = watch.states[RETRY].storm
     assert storm is not None and storm.size > 100 and storm.peak > 40
     assert "further tries" in storm.evidence and "without repeats" in storm.evidence
@@ -122,7 +126,7 @@
     """Gateways that offer calls at set rates; `capacity` of the admitted calls per second are answered."""
 
     def __init__(self, capacity: float) -> None:
-        self.door, self.capacity, self.draw = Door(), capacity, random.Random(3)
+        self.admission, self.capacity, self.draw = GatewayAdmission(), capacity, random.Random(3)
         self.now = 0
         self.tokens = 0.0
 
@@ -143,22 +147,26 @@
                 for revenue, rate in pairs:
                     if self.draw.random() >= rate * 0.01:
                         continue
-                    is_admitted = self.door.lets(self.now, name, revenue, self.draw.random())
+                    is_admitted = self.admission.admits(self.now, name, revenue, self.draw.random())
                     if self.now > half:
                         offered[name, revenue] = offered.get((name, revenue), 0) + 1
                         admitted[name, revenue] = admitted.get((name, revenue), 0) + is_admitted
                     if is_admitted and self.tokens >= 1:
                         self.tokens -= 1
-                        self.door.stood(self.now)
+                        self.admission.count_answered(self.now)
                     elif is_admitted:
-                        self.door.refused(self.now)
+                        self.admission.count_refused(self.now)
         return {key: admitted.get(key, 0) / count for key, count in offered.items()}
 
 
 def test_no_gateway_is_limited_while_few_calls_are_refused() -> None:
     simulation = Simulation(capacity=40)
     shares = simulation.run(20, {"a": [(1.0, 30)], "b": [(1.0, 5)]})
-    assert not simulation.door.held and set(shares.values()) == {1.0} and simulation.door.notices() == {}
+    assert (
+        not simulation.admission.is_limiting
+        and set(shares.values()) == {1.0}
+        and simulation.admission.limits_to_announce() == {}
+    )
 
 
 def test_a_flooding_gateway_is_limited_to_its_share_and_the_others_are_not() -> None:
@@ -166,7 +174,7 @@
     simulation.run(20, {"a": [(1.0, 6)], "b": [(1.0, 6)], "c": [(1.0, 6)]})
     shares = simulation.run(20, {"a": [(1.0, 6)], "b": [(1.0, 6)], "c": [(1.0, 90)]})
     assert shares["a", 1.0] > 0.95 and shares["b", 1.0] > 0.95 and shares["c", 1.0] < 0.4
-    rate_limits = simulation.door.notices()
+    rate_limits = simulation.admission.limits_to_announce()
     assert rate_limits["c"] < 40 and rate_limits["a"] >= 6
 
 
@@ -175,7 +183,7 @@
     usual_rates = {name: [(1.0, 8.0)] for name in "abc"}
     simulation.run(10, usual_rates)
     shares = simulation.run(20, {name: [(1.0, 30.0)] for name in "abc"})
-    assert simulation.door.held and min(shares.values()) > 0.95
+    assert simulation.admission.is_limiting and min(shares.values()) > 0.95
 
 
 def test_calls_of_higher_revenue_go_first_where_the_total_is_limited() -> None:
@@ -195,18 +203,18 @@
 def test_limits_end_after_the_overload() -> None:
     simulation = Simulation(capacity=20)
     simulation.run(10, {"a": [(1.0, 60)], "b": [(1.0, 5)]})
-    assert simulation.door.held
+    assert simulation.admission.is_limiting
     simulation.run(10, {"a": [(1.0, 8)], "b": [(1.0, 5)]})
-    assert not simulation.door.held and simulation.door.notices() == {}
+    assert not simulation.admission.is_limiting and simulation.admission.limits_to_announce() == {}
 
 
 def test_limits_end_where_nobody_calls_any_more() -> None:
     simulation = Simulation(capacity=20)
     simulation.run(10, {"a": [(1.0, 60)], "b": [(1.0, 5)]})
-    assert simulation.door.held
+    assert simulation.admission.is_limiting
     for step in range(60):
-        simulation.door.look(simulation.now + step * 250 * MS)
-    assert not simulation.door.held
+        simulation.admission.update(simulation.now + step * 250 * MS)
+    assert not simulation.admission.is_limiting
 
 
 def test_first_calls_are_not_limited_where_refusals_have_another_cause_than_load() -> None:
@@ -215,57 +223,57 @@
     simulation.run(20, {"a": [(1.0, 10)], "b": [(1.0, 10)]})
     simulation.capacity = simulation.tokens = 0.0
     shares = simulation.run(15, {"a": [(1.0, 10)], "b": [(1.0, 10)]})
-    assert simulation.door.held and min(shares.values()) > 0.95
+    assert simulation.admission.is_limiting and min(shares.values()) > 0.95
 
 
 def test_a_disconnected_gateway_takes_no_share() -> None:
     simulation = Simulation(capacity=10)
     simulation.run(10, {"a": [(1.0, 30)], "b": [(1.0, 30)]})
-    simulation.door.gone("b")
+    simulation.admission.remove_gateway("b")
     simulation.run(0.5, {"a": [(1.0, 30)]})
-    assert set(simulation.door.notices()) == {"a"}
+    assert set(simulation.admission.limits_to_announce()) == {"a"}
 
 
 def test_the_number_of_remembered_usual_rates_is_bounded() -> None:
-    door = Door()
+    admission = GatewayAdmission()
     for number in range(12_000):
-        door.lets(number * 250 * MS, f"g{number}", 1.0, 0.5)
-        door.look((number + 1) * 250 * MS)
-        door.gone(f"g{number}")
-    assert 0 < len(door.usual_rates) <= door.MAX_USUAL_RATES
+        admission.admits(number * 250 * MS, f"g{number}", 1.0, 0.5)
+        admission.update((number + 1) * 250 * MS)
+        admission.remove_gateway(f"g{number}")
+    assert 0 < len(admission.usual_rates) <= admission.MAX_USUAL_RATES
 
 
 def test_restarts_are_admitted_at_the_rate_and_a_slot_is_kept() -> None:
-    gate = Gate(rate=10, burst=2, max_slots=100)
-    waits = [gate.comes(0, f"g{number}") for number in range(50)]
+    gate = RestartPacer(rate=10, burst=2, max_slots=100)
+    waits = [gate.wait_for(0, f"g{number}") for number in range(50)]
     assert waits[:2] == [0, 0] and waits[2:5] == [100 * MS, 200 * MS, 300 * MS]
-    assert gate.comes(50 * MS, "g2") == 50 * MS  # early: the rest of its wait, and no new slot
-    assert gate.comes(100 * MS, "g2") == 0
-    admitted = sum(gate.comes(100 * MS * (number - 1), f"g{number}") == 0 for number in range(3, 50))
+    assert gate.wait_for(50 * MS, "g2") == 50 * MS  # early: the rest of its wait, and no new slot
+    assert gate.wait_for(100 * MS, "g2") == 0
+    admitted = sum(gate.wait_for(100 * MS * (number - 1), f"g{number}") == 0 for number in range(3, 50))
     assert admitted == 47
-    assert [gate.comes(SECOND * at, "x") for at in range(20, 24)] == [0, 0, 0, 0]  # no wait at quiet times
+    assert [gate.wait_for(SECOND * at, "x") for at in range(20, 24)] == [0, 0, 0, 0]  # no wait at quiet times
 
 
 def test_slots_and_waits_of_restarts_are_bounded() -> None:
-    gate = Gate(rate=10, burst=1, max_slots=20)
+    gate = RestartPacer(rate=10, burst=1, max_slots=20)
     for number in range(1000):
-        gate.comes(0, f"g{number}")
+        gate.wait_for(0, f"g{number}")
     assert len(gate.slots) <= 20
-    assert gate.comes(0, "one more") <= 20 * 100 * MS  # no longer than all slots take
+    assert gate.wait_for(0, "one more") <= 20 * 100 * MS  # no longer than all slots take
     assert waiting_delay(100, 50) == 2 * SECOND
 
 
 def test_notices_are_renewed_changed_and_lifted() -> None:
     notices = Notices()
-    assert notices.look(0, {}) == {}
-    first = notices.look(0, {"a": 10.0})["a"]
+    assert notices.due_notices(0, {}) == {}
+    first = notices.due_notices(0, {"a": 10.0})["a"]
     assert first.rate == 10.0 and first.lifetime == notices.LIFETIME
-    assert notices.look(100 * MS, {"a": 20.0}) == {}  # too soon after the last notice
-    assert notices.look(500 * MS, {"a": 10.5}) == {}  # changed by less than 20 %
-    assert notices.look(500 * MS, {"a": 20.0})["a"].number > first.number
-    assert notices.look(1500 * MS, {"a": 20.0})["a"].rate == 20.0  # renewed at half its lifetime
-    lifted = notices.look(1600 * MS, {})["a"]
-    assert lifted.lifetime == 0 and notices.look(1700 * MS, {}) == {}
-    notices.look(2000 * MS, {"a": 5.0})
+    assert notices.due_notices(100 * MS, {"a": 20.0}) == {}  # too soon after the last notice
+    assert notices.due_notices(500 * MS, {"a": 10.5}) == {}  # changed by less than 20 %
+    assert notices.due_notices(500 * MS, {"a": 20.0})["a"].number > first.number
+    assert notices.due_notices(1500 * MS, {"a": 20.0})["a"].rate == 20.0  # renewed at half its lifetime
+    lifted = notices.due_notices(1600 * MS, {})["a"]
+    assert lifted.lifetime == 0 and notices.due_notices(1700 * MS, {}) == {}
+    notices.due_notices(2000 * MS, {"a": 5.0})
     notices.gone("a")
-    assert notices.look(2100 * MS, {}) == {}
+    assert notices.due_notices(2100 * MS, {}) == {}
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -7,7 +7,7 @@
 import pytest
 
 from peattrestle import interface as api
-from peattrestle.control import Controller, Exchange, Home, RouteStatistics
+from peattrestle.control import CallRouter, Controller, Exchange, RouteStatistics
 from tests.helpers import MS, Agent, final_answers, set_up_routes
 
 
@@ -155,7 +155,7 @@
     for call in range(20):
         agent.call(call, call, 3)
         agent.answered(50, call, 3, 1400 if call < late else 50)
-    agent.handle_at(60, api.Reported("x1", "served", 0, {"free": 0, "size": size}))
+    agent.handle_at(60, api.LoadReported("x1", "served", 0, {"free": 0, "size": size}))
     for call in range(20):
         expected -= len(set_up_routes(agent.call(2000 + call, 100 + call, **route)))
         agent.answered(2000 + call, 100 + call, 3, 50)
@@ -252,9 +252,9 @@
 def test_an_exchange_missing_from_a_full_list_is_gone_and_another_takes_over_its_number() -> None:
     agent = Agent()
     entries = [api.Entry(f"x{n}", n, "ready") for n in (0, 2, 3)]
-    agent.handle_at(5, api.Listed("full", tuple(entries)))
+    agent.handle_at(5, api.ListUpdated("full", tuple(entries)))
     assert final_answers(agent.call(10, 1)) == ["Block"]
-    agent.handle_at(20, api.Listed("delta", (api.Entry("y1", 1, "ready"),)))
+    agent.handle_at(20, api.ListUpdated("delta", (api.Entry("y1", 1, "ready"),)))
     assert set_up_routes(agent.call(30, 2)) == ["y1"]
 
 
@@ -415,8 +415,8 @@
 
 def test_a_list_that_must_be_asked_for_is_followed_and_asked_for_again() -> None:
     controller = Controller(1, {"discovery": "ask"})
-    assert controller.handle(0, [api.Listed("cached")]) == [api.FollowList()]
-    assert [type(action) for action in controller.handle(1, [api.Listed("failed")])] == [api.SetTimer]
+    assert controller.handle(0, [api.ListUpdated("cached")]) == [api.FollowList()]
+    assert [type(action) for action in controller.handle(1, [api.ListUpdated("failed")])] == [api.SetTimer]
     assert controller.handle(2, [api.TimerDue("follow")]) == [api.FollowList()]
 
 
@@ -504,10 +504,10 @@
             "fall_time": 2000 * MS,
         }
     )
-    agent.handle_at(5, api.Listed("delta", (api.Entry("x0", 0, "ready", 5 * MS),)))
+    agent.handle_at(5, api.ListUpdated("delta", (api.Entry("x0", 0, "ready", 5 * MS),)))
     if reported is not None:
-        agent.handle_at(6, api.Reported("x2", "served", 0, {"rate": reported}))
-    agent.controller._home.exchanges_by_number[0].start_known_at = -(
+        agent.handle_at(6, api.LoadReported("x2", "served", 0, {"rate": reported}))
+    agent.controller._router.exchanges_by_number[0].start_known_at = -(
         1 << 60
     )  # the assumed set-up is long past
     setups = 0
@@ -552,7 +552,7 @@
     delays = []
     for call in calls:
         actions = agent.call(at, call, 1, **fields)
-        delays += [action.come_back // MS for action in actions if isinstance(action, api.Block)]
+        delays += [action.retry_after // MS for action in actions if isinstance(action, api.Block)]
     return delays
 
 
@@ -577,15 +577,15 @@
 
 def test_a_call_over_its_gateways_share_is_refused_with_a_retry_delay() -> None:
     agent = Agent()
-    (answer,) = agent.call(0, 1, 1, held=True)
-    assert isinstance(answer, api.Block) and answer.come_back > 0
+    (answer,) = agent.call(0, 1, 1, over_share=True)
+    assert isinstance(answer, api.Block) and answer.retry_after > 0
 
 
 @pytest.mark.parametrize(("late", "min_count", "max_count"), [(True, 5, 10), (False, 45, 60)])
 def test_further_route_tries_have_a_budget_where_answers_are_late(
     monkeypatch: pytest.MonkeyPatch, late: bool, min_count: int, max_count: int
 ) -> None:
-    monkeypatch.setattr(Home, "FURTHER", 0.0)  # only the budget that there is at the start
+    monkeypatch.setattr(CallRouter, "RETRY_CREDIT", 0.0)  # only the budget that there is at the start
     agent = Agent({1: 0}, exchanges=6)
     further_tries = 0
     for call in range(60):
@@ -605,29 +605,29 @@
 
 def test_the_retry_budget_is_refilled_by_first_tries() -> None:
     agent = Agent()
-    home = agent.controller._home
-    home.retry_budget = 0.0
+    router = agent.controller._router
+    router.retry_budget = 0.0
     for call in range(20):
         agent.call(call * 100, call)
         agent.answered(call * 100 + 50, call, 1)
-    assert 1.9 < home.retry_budget < 2.1
+    assert 1.9 < router.retry_budget < 2.1
 
 
 def test_a_replaced_exchange_is_dropped_and_its_circuits_count_once() -> None:
     agent = Agent()
-    home = agent.controller._home
-    circuits = home.circuits
+    router = agent.controller._router
+    circuits = router.circuits
     for number in range(30):
         agent.call(number * 1000, number, to=1)
         name = "x1" if number == 0 else f"r{number}"
-        agent.handle_at(number * 1000 + 10, api.Stood(number, name, 50 * MS, 0))
+        agent.handle_at(number * 1000 + 10, api.TryAnswered(number, name, 50 * MS, 0))
         new = f"r{number + 1}"
-        agent.handle_at(number * 1000 + 20, api.Listed("delta", (api.Entry(new, 1, "ready", 1),)))
-        agent.handle_at(number * 1000 + 20, api.Reported(new, "served", 0, {"free": 30, "size": 30}))
-        agent.handle_at(number * 1000 + 30, api.Listed("delta", (api.Entry(name, 1, "gone"),)))
-    agent.handle_at(40_000, api.Listed("delta", ()))
-    assert (len(home.exchanges), home.circuits) == (4, circuits)
-    assert len(home.statistics) <= 1
+        agent.handle_at(number * 1000 + 20, api.ListUpdated("delta", (api.Entry(new, 1, "ready", 1),)))
+        agent.handle_at(number * 1000 + 20, api.LoadReported(new, "served", 0, {"free": 30, "size": 30}))
+        agent.handle_at(number * 1000 + 30, api.ListUpdated("delta", (api.Entry(name, 1, "gone"),)))
+    agent.handle_at(40_000, api.ListUpdated("delta", ()))
+    assert (len(router.exchanges), router.circuits) == (4, circuits)
+    assert len(router.statistics) <= 1
 
 
 @pytest.mark.parametrize(
