--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -749,7 +749,7 @@
 
     def follow_list(self) -> Coroutine[None]:
         """Receives the exchange list from the address `list`, and reconnects with exponential backoff."""
-        links, rng = self.settings.links, self.kernel.chance("list")
+        links, rng = self.settings.links, self.kernel.random_for("list")
         wait = links.retry_least
         while True:
             reason = ""
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -73,7 +73,7 @@
         self.session: Session | None = None
         self.stream: Stream | None = None
         self.up = self.first_attempt_done = self.closing = False
-        self.rng = kernel.chance(f"link/{exchange}")
+        self.rng = kernel.random_for(f"link/{exchange}")
         self.last_received_at = self.hello_sent_at = 0
         self.unanswered_audits = 0
         self.pending_releases: deque[Release] = deque()
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -58,7 +58,7 @@
         self.dial_timeout, self.answer_timeout, self.idle_timeout = dial, answer, quiet
         self.prefix = prefix.encode()
         self.follower, self.roll = Follower(least, most), Roll(self.prefix)
-        self.rng = kernel.chance("registry")
+        self.rng = kernel.random_for("registry")
         self.endpoints = list(endpoints)
         self.rng.shuffle(self.endpoints)
         self.initial_read_done = False
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -52,7 +52,7 @@
             limits.restarts, max(1, limits.restarts // 4), limits.gateways
         )
         self.accept_limiter = restarts.RestartPacer(limits.accepts, limits.accepts, 1)
-        self.rng = kernel.chance("door")
+        self.rng = kernel.random_for("door")
 
     def run(self) -> Coroutine[None]:
         """Every `CHECK_INTERVAL`, logs storms and changes of the limiting, and sends rate notices."""
--- a/peattrestle/platform/follow.py
+++ b/peattrestle/platform/follow.py
@@ -40,7 +40,7 @@
             on_change,
             log,
         )
-        self.rng = kernel.chance("feed")
+        self.rng = kernel.random_for("feed")
         self.stream: Stream | None = None
         self.last_byte_at = 0
         self.idle_timeout = IDLE_TIMEOUT  # without a byte, before a request is given up
--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -58,7 +58,7 @@
         self.pending_count = self.missed_reports = 0
         self.last_received_at = self.probed_at = 0
         self.average_gap = INITIAL_GAP
-        self.rng = self.kernel.chance(f"link/{link.exchange}/{index}")
+        self.rng = self.kernel.random_for(f"link/{link.exchange}/{index}")
         self.start()
 
     def start(self) -> None:
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -31,7 +31,7 @@
     def __init__(self, world: World, hosts: Hosts) -> None:
         self.world, self.hosts = world, hosts
         self.kernel = world.kernel
-        self.draw = world.kernel.chance("troubles")
+        self.draw = world.kernel.random_for("troubles")
         self.begun: dict[str, int] = {}
 
     def schedule(self, troubles: tuple[Trouble, ...], started: int) -> None:
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -100,7 +100,7 @@
 
         Groups have some spare circuits; the pairs with the least traffic have no group.
         """
-        fleet, draw = self.script.fleet, self.kernel.chance("plan")
+        fleet, draw = self.script.fleet, self.kernel.random_for("plan")
         weights: list[dict[int, float]] = []
         for number in range(count):
             row = {other: math.exp(draw.gauss(0, 0.6)) for other in range(count) if other != number}
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -334,7 +334,7 @@
         """Wall-clock time in nanoseconds since 1970, if known. It may jump, so nothing is timed by it."""
         return self.now()
 
-    def chance(self, name: str) -> random.Random:
+    def random_for(self, name: str) -> random.Random:
         """Returns a random generator for the purpose `name`.
 
         Each purpose has its own sequence, so an additional draw for one changes none of the others.
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -252,7 +252,7 @@
     def __init__(self, seed: int, network: Network | None = None) -> None:
         super().__init__(seed)
         self.network = network or Network()
-        self.rng = self.chance("network")
+        self.rng = self.random_for("network")
         self.listeners: dict[str, VirtualListener] = {}
         self._now = 1_000_000 * MS  # not 0, so that an unset time of 0 is not mistaken for the start
         self._port = 40000
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -156,7 +156,7 @@
         self.label = f"{number}" + (f".{place}" if place else "")
         self.name = f"gateway {self.label}"
         self.mid = f"<g{self.label}>"  # H.248 message identifier
-        self.draw = kernel.chance(self.name)
+        self.draw = kernel.random_for(self.name)
         self.transactions = Transactions(1, 100_000, 10_000)
         self.session: Session | None = None
         self.stream: Stream | None = None
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -222,7 +222,7 @@
         self.mid = f"<{name}>"  # H.248 message identifier
         self.own_agent = own_agent
         self.flags = SocketFaults()
-        self.draw = kernel.chance(f"exchange/{name}")
+        self.draw = kernel.random_for(f"exchange/{name}")
         settings = fabric.processor_settings
         self.processor = Processor(
             kernel,
--- a/peattrestle/standin/list_source.py
+++ b/peattrestle/standin/list_source.py
@@ -19,7 +19,7 @@
     def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
         self.kernel, self.record = kernel, record
         self.min_delay, self.max_delay = min_delay, max_delay
-        self.draw = kernel.chance("list source")
+        self.draw = kernel.random_for("list source")
         self.exchanges: dict[str, tuple[StandinExchange, str]] = {}
         self.regions: dict[int, str] = {}
         self.subscribers: dict[str, Stream] = {}
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -18,7 +18,7 @@
     def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
         self.kernel, self.record = kernel, record
         self.min_delay, self.max_delay = min_delay, max_delay
-        self.draw = kernel.chance("hub registry")
+        self.draw = kernel.random_for("hub registry")
         self.exchanges: dict[str, tuple[StandinExchange, str]] = {}
         self.regions: dict[int, str] = {}
         self.registry = StandinRegistry(kernel, address)
--- a/peattrestle/trials/feed.py
+++ b/peattrestle/trials/feed.py
@@ -53,7 +53,7 @@
     def __init__(self, kernel: Kernel, deployment: Deployment, address_count: int) -> None:
         self.kernel, self.deployment, self.address_count = kernel, deployment, address_count
         self.events: list[Event] = []
-        self.rng = kernel.chance("feed")
+        self.rng = kernel.random_for("feed")
         self.state = FeedState.UP
         self.address_index = 0
         self.outage_began = 0
