--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -87,7 +87,7 @@
         if links.restart_wait:
             # Restart avalanche procedure of H.248.1: a random wait, cut short when a call needs the link.
             with contextlib.suppress(TimedOut):
-                yield from self.kernel.within(
+                yield from self.kernel.with_timeout(
                     self.rng.randint(0, links.restart_wait), self.connect_requested.wait()
                 )
         while not self.closing:
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -135,7 +135,7 @@
             conversation = Conversation(endpoint, f"peattrestle/{self.label}")
             if isinstance(step, RequestRead):
                 stream.write(conversation.post(etcd.RANGE, etcd.range_request(self.prefix)))
-                result = yield from self.kernel.within(
+                result = yield from self.kernel.with_timeout(
                     self.answer_timeout,
                     self.read_answer(stream, conversation),
                     "timed out waiting for the registry's answer",
@@ -171,7 +171,7 @@
         lines, status = LineSplitter(MAX_LINE_BYTES), 0
         while True:
             try:
-                data = yield from self.kernel.within(
+                data = yield from self.kernel.with_timeout(
                     self.idle_timeout, stream.read(), "timed out waiting for the watch"
                 )
             except TimedOut:
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -56,7 +56,7 @@
 
     def run_with_timeout() -> Coroutine[None]:
         try:
-            yield from kernel.within(request.patience + hold + 3 * SECOND, run_call())
+            yield from kernel.with_timeout(request.patience + hold + 3 * SECOND, run_call())
         except (Refused, Lost, BadPeer, TimedOut) as error:
             answer["text"] = answer["text"] or str(error)
         finally:
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -388,7 +388,7 @@
         finally:
             timer.cancel()
 
-    def within(self, length: int, body: Coroutine[T], name: str = "within") -> Coroutine[T]:
+    def with_timeout(self, length: int, body: Coroutine[T], name: str = "within") -> Coroutine[T]:
         """Runs a coroutine for at most `length` nanoseconds and returns its result.
 
         Raises `TimedOut` once the time has passed and the cancelled coroutine has ended.
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -202,7 +202,7 @@
                 self.dial_requested = Event(self.kernel)
                 try:
                     delay = self.draw.randint(0, self.waiting_delay)
-                    yield from self.kernel.within(delay, self.dial_requested.wait())
+                    yield from self.kernel.with_timeout(delay, self.dial_requested.wait())
                 except TimedOut:
                     pass
 
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -178,9 +178,9 @@
         with pytest.raises(KeyError):
             yield from kernel.spawn(raise_after_sleep(), "joined").join()
         with pytest.raises(KeyError):
-            yield from kernel.within(50 * MS, raise_after_sleep())
+            yield from kernel.with_timeout(50 * MS, raise_after_sleep())
         with pytest.raises(TimedOut):
-            yield from kernel.within(5 * MS, kernel.sleep(5000 * MS))
+            yield from kernel.with_timeout(5 * MS, kernel.sleep(5000 * MS))
 
     run(kernel, body())
     assert [name for name, _ in kernel.crashes] == ["alone"]
@@ -301,7 +301,7 @@
         os.close(fillers.pop())
         try:
             shed = yield from kernel.connect(listener.address, 500 * MS)
-            end = yield from kernel.within(1000 * MS, shed.read())
+            end = yield from kernel.with_timeout(1000 * MS, shed.read())
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             for filler in fillers:
