--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -311,7 +311,7 @@
             raise
         return EpollListener(self, sock)
 
-    def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
+    def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
         host_port = split(address)
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -322,7 +322,7 @@
         if error_code == errno.EINPROGRESS:
             waiter = Waiter(self)
             handle = Handle(self, sock, waiter.set)
-            timer = self.at(self.now() + within, lambda: waiter.fail(Refused(f"{address}: no answer")))
+            timer = self.at(self.now() + timeout, lambda: waiter.fail(Refused(f"{address}: no answer")))
             try:
                 handle.set_mask(WRITABLE)
                 yield waiter
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -459,6 +459,6 @@
         """Opens a port. Raises OSError if it is in use."""
         raise NotImplementedError
 
-    def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
-        """Connects from `source` to `address`. Raises `Refused`, also after `within` nanoseconds."""
+    def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
+        """Connects from `source` to `address`. Raises `Refused`, also after `timeout` nanoseconds."""
         raise NotImplementedError
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -271,12 +271,12 @@
         listener = self.listeners[address] = VirtualListener(self, address, backlog)
         return listener
 
-    def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
+    def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
         self._port += 1
         here = VirtualStream(self, source, address)
-        yield from self.sleep(min(2 * here.delay, within))
+        yield from self.sleep(min(2 * here.delay, timeout))
         if self.network.cut(source, address):
-            yield from self.sleep(max(0, within - 2 * here.delay))
+            yield from self.sleep(max(0, timeout - 2 * here.delay))
             raise Refused(f"{address}: no answer")
         listener = self.listeners.get(address)
         if listener is None or len(listener.pending) >= listener.backlog:
@@ -338,8 +338,8 @@
         self._listeners.append(listener)
         return listener
 
-    def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
-        stream = yield from self.parent.connect(address, within, source)
+    def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
+        stream = yield from self.parent.connect(address, timeout, source)
         assert isinstance(stream, VirtualStream)
         self._streams = [open_stream for open_stream in self._streams if not open_stream._closed]
         self._streams.append(stream)
