--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -805,7 +805,7 @@
         rows = []
         for member in update.members:
             entry = member.entry
-            age = self.kernel.wall() - round(entry.started * 1e9) if entry.started else -1
+            age = self.kernel.wall_time() - round(entry.started * 1e9) if entry.started else -1
             if not 0 <= age < 10**18:
                 age = -1
             rows.append(listing.Row(member.name, entry.number, entry.state, entry.address, entry.zone, age))
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -200,7 +200,7 @@
 
     def apply_change(self, change: Change) -> None:
         """Applies a change of the exchange list to links, calls, guard and controller."""
-        now, wall_ms = self.kernel.now(), self.kernel.wall() // MS
+        now, wall_ms = self.kernel.now(), self.kernel.wall_time() // MS
         rows = list(change.members)
         if change.whole:
             present = {member.exchange for member in rows}
--- a/peattrestle/platform/log.py
+++ b/peattrestle/platform/log.py
@@ -58,7 +58,7 @@
             return
         if self._dropped[debug]:
             fields["lines_dropped"], self._dropped[debug] = self._dropped[debug], 0
-        at = round(self.kernel.wall() / SECOND, 3)
+        at = round(self.kernel.wall_time() / SECOND, 3)
         entry = {"at": at, "level": level, "text": text} | fields
         line = json.dumps(entry, default=str)
         if len(line) > MAX_LINE_BYTES:
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -287,7 +287,7 @@
     def now(self) -> int:
         return time.monotonic_ns()
 
-    def wall(self) -> int:
+    def wall_time(self) -> int:
         return time.time_ns()
 
     def adopt(self, sock: socket.socket, peer: str) -> EpollStream:
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -330,7 +330,7 @@
         """Nanoseconds of a monotonic clock."""
         raise NotImplementedError
 
-    def wall(self) -> int:
+    def wall_time(self) -> int:
         """Wall-clock time in nanoseconds since 1970, if known. It may jump, so nothing is timed by it."""
         return self.now()
 
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -47,7 +47,7 @@
             return
         started = 0.0
         if exchange.started_at >= 0:
-            started = (self.kernel.wall() - (self.kernel.now() - exchange.started_at)) / 1e9
+            started = (self.kernel.wall_time() - (self.kernel.now() - exchange.started_at)) / 1e9
         value = {
             "number": exchange.number,
             "state": state,
