--- a/peattrestle/platform/connections.py
+++ b/peattrestle/platform/connections.py
@@ -226,7 +226,7 @@
             return
         self.remove(caller, caller.close_reason)
         self.lingering[caller] = None
-        caller.stream.finish()
+        caller.stream.close_write()
         self.kernel.at(self.kernel.now() + LINGER_TIME, caller.stream.close)
 
     def remove(self, caller: Caller, why: str) -> None:
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -163,7 +163,7 @@
         if self._lost_reason:
             raise Lost(self._lost_reason)
 
-    def finish(self) -> None:
+    def close_write(self) -> None:
         self._finishing = True
         self.kernel.at_turn_end(self._flush)
 
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -274,7 +274,7 @@
         """Waits until fewer than `below` bytes are unsent. Raises `Lost`."""
         raise NotImplementedError
 
-    def finish(self) -> None:
+    def close_write(self) -> None:
         """Closes this side for writing once all unsent bytes are sent; the peer may still write."""
         raise NotImplementedError
 
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -118,7 +118,7 @@
         if self._lost_reason:
             raise Lost(self._lost_reason)
 
-    def finish(self) -> None:
+    def close_write(self) -> None:
         if not self._finished and not self._closed:
             self._finished = True
             self._schedule(self._end_of_stream)
@@ -185,7 +185,7 @@
                 segment = bytes(self._out.popleft())
                 self._in_flight += len(segment)
                 self._schedule(partial(self._deliver, segment))
-            self.finish()
+            self.close_write()
             self._shut("")
             self._lost_reason = ""
 
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -195,7 +195,7 @@
             here.write(sent[offset : offset + 50_000])
         yield from kernel.sleep(50 * MS)
         assert here.unsent > 0  # bytes that the peer does not read stay with the writer
-        here.finish()
+        here.close_write()
         received = yield from read_all(there)
         yield from here.drain(1)
         return received
@@ -207,10 +207,10 @@
     def body() -> Coroutine[tuple[bytes, bytes]]:
         here, there, _ = yield from connected_pair(kernel)
         here.write(b"question")
-        here.finish()
+        here.close_write()
         question = yield from read_all(there)
         there.write(b"answer")
-        there.finish()
+        there.close_write()
         return question, (yield from read_all(here))
 
     assert run(kernel, body()) == (b"question", b"answer")
@@ -326,7 +326,7 @@
         for number in range(50):
             here.write(bytes([number]) * 100)
             yield from kernel.sleep(MS // 3)
-        here.finish()
+        here.close_write()
         while data := (yield from there.read()):
             received.append(data)
 
@@ -380,7 +380,7 @@
         yield from kernel.sleep(30 * MS)
         kernel.network.cut = lambda source, address: False
         here.write(b"second")
-        here.finish()
+        here.close_write()
         return (yield from read_all(there))
 
     assert run(kernel, body()) == b"firstsecond"
