--- a/peattrestle/platform/connections.py
+++ b/peattrestle/platform/connections.py
@@ -250,7 +250,7 @@
     def stop_listening(self) -> None:
         """Accepts the connections already in the backlog, and then closes the listener."""
         if self.listener is not None:
-            for stream in self.listener.close_and_take():
+            for stream in self.listener.close_and_accept_pending():
                 self.add_connection(stream)
             self.listener = None
 
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -243,7 +243,7 @@
             else:
                 return self.kernel.adopt(sock, f"{host}:{port}")
 
-    def close_and_take(self) -> list[Stream]:
+    def close_and_accept_pending(self) -> list[Stream]:
         accepted: list[Stream] = []
         while self.handle.fd >= 0:
             try:
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -301,7 +301,7 @@
         """Closes the port and the connections that wait to be accepted."""
         raise NotImplementedError
 
-    def close_and_take(self) -> list[Stream]:
+    def close_and_accept_pending(self) -> list[Stream]:
         """Closes the port and returns the connections that waited to be accepted."""
         raise NotImplementedError
 
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -237,7 +237,7 @@
         for stream in self.pending:
             stream.abort()
 
-    def close_and_take(self) -> list[Stream]:
+    def close_and_accept_pending(self) -> list[Stream]:
         accepted: list[Stream] = list(self.pending)
         for stream in self.pending:
             self.adopt(stream)
