--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -247,10 +247,10 @@
     """Requests one call to EXCHANGE from the agent at ADDRESS, and prints the answer."""
     from peattrestle.cli.caller import request_call
     from peattrestle.h248.package import SetUpRequest
-    from peattrestle.runtime.epoll import split
+    from peattrestle.runtime.epoll import split_address
 
     try:
-        split(address)
+        split_address(address)
         patience_ns, hold_ns = schema.parse_duration(patience), schema.parse_duration(hold)
     except ValueError as error:
         fail(INVALID_INPUT, error)
--- a/peattrestle/platform/config.py
+++ b/peattrestle/platform/config.py
@@ -9,7 +9,7 @@
 
 from peattrestle.feed.sse import BadFeed
 from peattrestle.feed.state import FeedState
-from peattrestle.runtime.epoll import split
+from peattrestle.runtime.epoll import split_address
 from peattrestle.wirehost import parse
 
 MS = 1_000_000  # nanoseconds
@@ -43,7 +43,7 @@
     if not isinstance(value, str):
         raise BadConfig(f"{place}: missing or not a string")
     try:
-        split(value)
+        split_address(value)
     except ValueError as error:
         raise BadConfig(f"{place}: {error}") from None
     return value
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -19,7 +19,7 @@
 HUNG_UP = select.EPOLLHUP | select.EPOLLERR
 
 
-def split(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
     """Splits a loopback address into host and port. Raises ValueError."""
     host, colon, port = address.rpartition(":")
     if not colon or not port.isdigit() or int(port) > 65535:
@@ -299,7 +299,7 @@
 
     def listen(self, address: str, backlog: int = 512) -> EpollListener:
         """Opens a port. Raises OSError if it is in use, ValueError if the address is invalid."""
-        host_port = split(address)
+        host_port = split_address(address)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -312,7 +312,7 @@
         return EpollListener(self, sock)
 
     def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
-        host_port = split(address)
+        host_port = split_address(address)
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -23,7 +23,7 @@
     Stream,
     TimedOut,
 )
-from peattrestle.runtime.epoll import EpollKernel, split
+from peattrestle.runtime.epoll import EpollKernel, split_address
 from peattrestle.runtime.virtual import Network, VirtualKernel, VirtualProcess
 
 MS = 1_000_000  # nanoseconds
@@ -272,7 +272,7 @@
 @pytest.mark.parametrize("address", ["10.0.0.1:1", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:70000", "::1:5"])
 def test_only_loopback_addresses_are_accepted(address: str) -> None:
     with pytest.raises(ValueError):
-        split(address)
+        split_address(address)
 
 
 def test_accept_continues_after_file_descriptors_ran_out() -> None:
