--- a/peattrestle/platform/mapping.py
+++ b/peattrestle/platform/mapping.py
@@ -4,7 +4,7 @@
 
 from peattrestle import interface as api
 from peattrestle.exchangeline import lines
-from peattrestle.wirehost import words
+from peattrestle.wirehost import protocol_names
 
 # Note of an exchange's release -> cause in `interface.TryEnded`.
 CAUSES = {
@@ -32,5 +32,7 @@
     Raises BadLine if it is malformed.
     """
     return {
-        words.LOAD.get(name, name): value for name, value in lines.parse_report(text).items() if value >= 0
+        protocol_names.LOAD.get(name, name): value
+        for name, value in lines.parse_report(text).items()
+        if value >= 0
     }
--- a/peattrestle/wirehost/host.py
+++ b/peattrestle/wirehost/host.py
@@ -8,9 +8,9 @@
 
 from peattrestle import interface as api
 from peattrestle.control import Controller
-from peattrestle.wirehost import parse, words
+from peattrestle.wirehost import parse, protocol_names
 from peattrestle.wirehost.parse import Line, Malformed
-from peattrestle.wirehost.words import US
+from peattrestle.wirehost.protocol_names import US
 
 
 @dataclass(slots=True)
@@ -118,7 +118,7 @@
         """Returns the event in a line, None if its kind is unknown. Raises `Malformed`."""
         if line.kind != "announce":
             return parse.event(line, fields)
-        form = words.FORMS.get(line.integer("Form"))
+        form = protocol_names.FORMS.get(line.integer("Form"))
         if form is None:
             return None
         if form == "failed":
--- a/peattrestle/wirehost/parse.py
+++ b/peattrestle/wirehost/parse.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from peattrestle import interface as api
-from peattrestle.wirehost import words
-from peattrestle.wirehost.words import US
+from peattrestle.wirehost import protocol_names
+from peattrestle.wirehost.protocol_names import US
 
 TEXT_FIELDS = ("BootInfo", "BodyText")  # their values may contain spaces and extend to the end of the line
 
@@ -62,7 +62,7 @@
 def _setting(name: str, value: Any) -> Any:
     if name.endswith("Us") and isinstance(value, (int, float)):
         return round(value * US)
-    return words.VALUES.get(value, value) if isinstance(value, str) else value
+    return protocol_names.VALUES.get(value, value) if isinstance(value, str) else value
 
 
 def settings(text: str) -> tuple[dict[str, Any], tuple[str, ...]]:
@@ -87,18 +87,18 @@
 
     flat = {
         own_name: _setting(path, value)
-        for path, own_name in words.SETTINGS.items()
+        for path, own_name in protocol_names.SETTINGS.items()
         if (value := value_at(path)) is not None
     }
     classes = value_at("Classes") or []
     flat["bearer_types"] = tuple(bearer_type["Name"] for bearer_type in classes)
     for index, bearer_type in enumerate(classes):
-        for protocol_name, own_name in words.BEARER.items():
+        for protocol_name, own_name in protocol_names.BEARER.items():
             if protocol_name in bearer_type:
                 flat[f"{own_name}:{bearer_type['Name']}"] = _setting(
                     protocol_name, bearer_type[protocol_name]
                 )
-        for path, own_name in words.BEARER_LISTS.items():
+        for path, own_name in protocol_names.BEARER_LISTS.items():
             row = value_at(path) or []
             if index < len(row):
                 value = row[index]
@@ -106,10 +106,10 @@
                     tuple(value) if isinstance(value, list) else _setting(path, value)
                 )
     for customer in value_at("Projects") or []:
-        for protocol_name, own_name in words.CUSTOMER.items():
+        for protocol_name, own_name in protocol_names.CUSTOMER.items():
             if protocol_name in customer:
                 flat[f"{own_name}:{customer['Name']}"] = customer[protocol_name]
-    return flat, tuple(words.LOAD.get(name, name) for name in value_at("Report.Fields") or ())
+    return flat, tuple(protocol_names.LOAD.get(name, name) for name in value_at("Report.Fields") or ())
 
 
 def load(text: str, fields: tuple[str, ...]) -> dict[str, float]:
@@ -131,7 +131,7 @@
     return api.Entry(
         line.text("Exchange"),
         line.integer("PointCode"),
-        words.STATES.get(line.integer("Availability"), "gone"),
+        protocol_names.STATES.get(line.integer("Availability"), "gone"),
         line.integer("SinceUs") * US,
         line.text("Area"),
     )
@@ -145,7 +145,7 @@
     if line.kind == "probe_done":
         return api.LoadReported(
             line.text("Exchange"),
-            words.RESULTS.get(line.text("Result"), "error"),
+            protocol_names.RESULTS.get(line.text("Result"), "error"),
             line.integer("RttUs") * US,
             load(line.text("Pressure"), fields),
         )
@@ -169,7 +169,7 @@
         )
     if line.kind == "verdict":
         code = line.integer("ClearCode")
-        cause, wait = words.CAUSES.get(code % 16, ""), 0
+        cause, wait = protocol_names.CAUSES.get(code % 16, ""), 0
         if cause == "turned_back" and code >= 16:
             cause = "beyond_full"
         elif cause == "processor_full":
@@ -177,7 +177,7 @@
         return api.TryEnded(
             line.required("Id"),
             line.text("Exchange"),
-            words.RESULTS.get(line.text("Result"), "error"),
+            protocol_names.RESULTS.get(line.text("Result"), "error"),
             line.integer("RttUs") * US,
             line.integer("Leg"),
             line.flag("DoneFlag"),
