--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -102,7 +102,7 @@
     fatal_errors: list[BaseException] = []
 
     def on_crash(name: str, error: BaseException) -> None:
-        log("error", "a coroutine raised", task=name, error=repr(error))
+        log("error", "coroutine raised an exception", task=name, error=repr(error))
         if name == f"agent {settings.label}":  # without its listening port the agent can't work
             fatal_errors.append(error)
             kernel.stop()
