--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -8,7 +8,7 @@
 from peattrestle.rehearsal.script import Script
 from peattrestle.runtime import Kernel
 from peattrestle.settings import agent as settings
-from peattrestle.standin.callers import BearerProfile, Gateway, Habits, Traffic
+from peattrestle.standin.callers import BearerProfile, CallerBehaviour, Gateway, Traffic
 from peattrestle.standin.exchange import StandinExchange
 from peattrestle.standin.fabric import Fabric, ProcessorSettings
 from peattrestle.standin.list_source import ListSource
@@ -76,7 +76,7 @@
         self.replacements = 0
         for number in range(count):
             self.add_exchange(number, cold=False)
-        habits = Habits(
+        habits = CallerBehaviour(
             script.callers.patience_least,
             script.callers.patience_most,
             script.callers.redials,
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True)
-class Habits:
+class CallerBehaviour:
     """Behaviour of callers and gateways; shares from 0 to 1, times in nanoseconds."""
 
     patience_least: float = 0.30  # of the bearer type's abandon time
@@ -100,7 +100,7 @@
     rate: float
     destinations: dict[int, float]
     bearers: list[BearerProfile]
-    habits: Habits
+    habits: CallerBehaviour
     hot_number: tuple[str, int, float] | None = None
 
 
