--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -121,10 +121,10 @@
     from peattrestle.standin import callers
 
     def back_off(self: Any, sale: Any, come_back: int) -> None:
-        habits = self.traffic.habits
-        if sale.tries > habits.redials or self.closing:
+        behaviour = self.traffic.behaviour
+        if sale.tries > behaviour.redials or self.closing:
             return
-        wait = round(habits.redial_least * 2**sale.tries * self.draw.uniform(0.5, 1.0))
+        wait = round(behaviour.redial_least * 2**sale.tries * self.draw.uniform(0.5, 1.0))
         now = self.kernel.now()
         if now + wait < sale.first_at + self.bearer(sale).abandon_time:
             if not self.ready:
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -246,19 +246,19 @@
 
     def begin_early_leavers(self, trouble: Trouble) -> Callable[[], None]:
         """The share `figure` of the callers gives up early."""
-        self.world.habits.leaves_early = min(1.0, trouble.figure)
+        self.world.behaviour.leaves_early = min(1.0, trouble.figure)
 
         def end() -> None:
-            self.world.habits.leaves_early = 0.0
+            self.world.behaviour.leaves_early = 0.0
 
         return end
 
     def begin_repeats(self, trouble: Trouble) -> Callable[[], None]:
         """Gateways send the share `figure` of their requests twice."""
-        self.world.habits.repeats = min(1.0, trouble.figure)
+        self.world.behaviour.repeats = min(1.0, trouble.figure)
 
         def end() -> None:
-            self.world.habits.repeats = 0.0
+            self.world.behaviour.repeats = 0.0
 
         return end
 
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -76,7 +76,7 @@
         self.replacements = 0
         for number in range(count):
             self.add_exchange(number, cold=False)
-        habits = CallerBehaviour(
+        behaviour = CallerBehaviour(
             script.callers.patience_least,
             script.callers.patience_most,
             script.callers.redials,
@@ -90,7 +90,7 @@
             restart_most=script.callers.restart_most,
         )
         self.gateways: list[Gateway] = []
-        self.habits = habits
+        self.behaviour = behaviour
         self.level = 1.0
         self.surges: dict[str, tuple[set[int], float]] = {}
         self.offered = 0
@@ -166,7 +166,7 @@
     def add_gateways(self, number: int, address: str) -> None:
         """Starts the gateways of an exchange, connected to the agent at `address`."""
         for place in range(self.script.fleet.gateways):
-            traffic = Traffic(0.0, self.weights[number], self.bearers, self.habits)
+            traffic = Traffic(0.0, self.weights[number], self.bearers, self.behaviour)
             self.gateways.append(
                 Gateway(self.kernel, self.record, number, f"a{number}", lambda: address, traffic, place)
             )
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -100,7 +100,7 @@
     rate: float
     destinations: dict[int, float]
     bearers: list[BearerProfile]
-    habits: CallerBehaviour
+    behaviour: CallerBehaviour
     hot_number: tuple[str, int, float] | None = None
 
 
@@ -195,9 +195,9 @@
             except (Refused, Lost, BadPeer):
                 self.failed_connections += 1
             self.on_connection_lost()
-            habits = self.traffic.habits
-            yield from self.kernel.sleep(self.draw.randint(habits.restart_least, habits.restart_most))
-            if habits.avalanche and not self.is_flooding and self.waiting_delay:
+            behaviour = self.traffic.behaviour
+            yield from self.kernel.sleep(self.draw.randint(behaviour.restart_least, behaviour.restart_most))
+            if behaviour.avalanche and not self.is_flooding and self.waiting_delay:
                 # H.248.1 restart avalanche procedure: a random delay that ends early when a caller dials.
                 self.dial_requested = Event(self.kernel)
                 try:
@@ -335,14 +335,14 @@
 
         `again_after_cut`: the call was established before and was cut.
         """
-        now, bearer, habits = self.kernel.now(), self.bearer(call), self.traffic.habits
+        now, bearer, behaviour = self.kernel.now(), self.bearer(call), self.traffic.behaviour
         if self.session is None or not self.ready:
             self.count("no_connection")
             self.dial_requested.set()
             self.redial(call, 0)
             return
         if (
-            habits.follows
+            behaviour.follows
             and not self.is_flooding
             and not self.bucket.admits(now, self.max_bucket_level(call))
         ):
@@ -351,10 +351,10 @@
             self.redial(call, 0)
             return
         abandon_after = round(
-            bearer.abandon_time * self.draw.uniform(habits.patience_least, habits.patience_most)
+            bearer.abandon_time * self.draw.uniform(behaviour.patience_least, behaviour.patience_most)
         )
         give_up_after = abandon_after
-        if habits.leaves_early and self.draw.random() < habits.leaves_early:
+        if behaviour.leaves_early and self.draw.random() < behaviour.leaves_early:
             give_up_after = round(abandon_after * self.draw.uniform(0.1, 0.5))
         self.attempt_count += 1
         call.tries += 1
@@ -366,7 +366,7 @@
             abandon_after,
             call.number,
             bearer.width,
-            repeat=habits.marks and call.tries > 1,
+            repeat=behaviour.marks and call.tries > 1,
             cut_before=again_after_cut,
             reference=f"g{self.label}/{self.attempt_count}",
         )
@@ -375,7 +375,7 @@
             attempt, lambda transaction_id: package.add_text(transaction_id, request)
         )
         self.attempts[termination] = attempt
-        if habits.repeats and self.draw.random() < habits.repeats:
+        if behaviour.repeats and self.draw.random() < behaviour.repeats:
             self.kernel.at(now + 50 * MS, lambda: self.resend(attempt, request))
         self.terminations[attempt.transaction_id] = termination
         if len(self.terminations) > 20_000:
@@ -497,11 +497,11 @@
 
     def on_call_cut(self, attempt: Attempt) -> None:
         """Handles a cut call: its caller dials again after a random wait."""
-        call, habits = attempt.call, self.traffic.habits
+        call, behaviour = attempt.call, self.traffic.behaviour
         self.count("cut")
         self.finish(attempt)
         call.cut, call.reestablished, call.tries = True, False, 0
-        wait = self.draw.randint(habits.return_least, habits.return_most)
+        wait = self.draw.randint(behaviour.return_least, behaviour.return_most)
         self.kernel.at(self.kernel.now() + wait, lambda: None if self.closing else self.dial(call, True))
 
     def redial(self, sale: CallerCall, come_back: int) -> None:
@@ -509,11 +509,11 @@
 
         `come_back`: nanoseconds after which the agent advises to try again; 0 for no advice.
         """
-        habits = self.traffic.habits
-        if sale.tries > habits.redials or self.closing:
+        behaviour = self.traffic.behaviour
+        if sale.tries > behaviour.redials or self.closing:
             return
-        wait = self.draw.randint(habits.redial_least, habits.redial_most)
-        if come_back and not self.is_flooding and self.draw.random() < habits.honours:
+        wait = self.draw.randint(behaviour.redial_least, behaviour.redial_most)
+        if come_back and not self.is_flooding and self.draw.random() < behaviour.honours:
             wait = come_back
         if self.kernel.now() + wait < sale.first_at + self.bearer(sale).abandon_time:
             if not self.ready:
