--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -48,7 +48,7 @@
         self.run_id = ""  # changes when the agent restarts
         self.transactions = Transactions(1, 100_000, 100_000)
         self.connection: Connection | None = None
-        self.held: dict[str, ExchangeCall] = {}
+        self.calls: dict[str, ExchangeCall] = {}
 
 
 class Connection:
@@ -353,7 +353,7 @@
         peer.number = int(change.parameters.get("ptc/num", "-1"))
         run_id = change.parameters.get("ptc/run", "")
         if run_id != peer.run_id:
-            for call in list(peer.held.values()):
+            for call in list(peer.calls.values()):
                 self.end_call(peer, call)
             if peer.run_id:
                 peer.transactions.served.clear()
@@ -374,7 +374,7 @@
                 ),
             )
             return
-        if request.termination in peer.held:
+        if request.termination in peer.calls:
             self.reply(
                 peer,
                 transaction_id,
@@ -392,7 +392,7 @@
             connection.stream.abort()
             return
         self.contexts += 1
-        call = peer.held[request.termination] = ExchangeCall(
+        call = peer.calls[request.termination] = ExchangeCall(
             peer.name, transaction_id, request, self.contexts
         )
         if not self.fabric.take_circuits(peer.number, self.number, request.width):
@@ -473,7 +473,7 @@
 
     def handle_subtract(self, peer: AgentPeer, transaction_id: int, action: Action, command: Command) -> None:
         """Handles a release by an agent."""
-        call = peer.held.get(command.termination)
+        call = peer.calls.get(command.termination)
         self.record("freed", peer, command.termination)
         if call is None:
             self.reply(
@@ -527,7 +527,7 @@
 
     def free_circuits(self, peer: AgentPeer, call: ExchangeCall) -> None:
         """Forgets a call and returns its circuits to the trunk group."""
-        peer.held.pop(call.request.termination, None)
+        peer.calls.pop(call.request.termination, None)
         if call.has_circuits:
             call.has_circuits = False
             self.fabric.return_circuits(peer.number, self.number, call.request.width)
@@ -682,7 +682,7 @@
         return [
             (peer, call)
             for peer in self.agents.values()
-            for call in list(peer.held.values())
+            for call in list(peer.calls.values())
             if call.state == "stands"
         ]
 
@@ -706,7 +706,7 @@
     def circuits_in_use(self) -> Iterable[tuple[tuple[int, int], int]]:
         """The circuits that calls hold here: the exchanges at both ends, lower number first, and how many."""
         for peer in self.agents.values():
-            for call in peer.held.values():
+            for call in peer.calls.values():
                 if call.has_circuits:
                     yield (
                         (
@@ -720,7 +720,7 @@
     def end_all_calls(self, notify: bool) -> None:
         """Ends all calls. `notify`: the agents that set up established calls are notified."""
         for peer in self.agents.values():
-            for call in list(peer.held.values()):
+            for call in list(peer.calls.values()):
                 if notify and call.state == "stands":
                     self.cut_call(peer, call)
                 self.end_call(peer, call)
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -211,7 +211,7 @@
             reset(stream)
         elif state == "out":
             yield from harness.kernel.sleep(10 * MS)
-            assert exchange.agents["a0"].held
+            assert exchange.agents["a0"].calls
             reset(stream)
         while state in ("stands", "releasing") and not harness.answers():
             yield from harness.kernel.sleep(MS)
@@ -232,7 +232,7 @@
     expected = {"gateway": {"asked": 0, "out": 0}}.get(side, {}).get(state, 1)
     assert len(answers) == expected
     assert harness.agent.calls == {} and harness.agent.terminations == {}
-    assert not exchange.agents["a0"].held and harness.world.fabric.leaks() == 0
+    assert not exchange.agents["a0"].calls and harness.world.fabric.leaks() == 0
     assert all(group.taken == 0 for group in harness.world.fabric.groups.values())
     assert harness.agent.guard.refusals == {} and harness.kernel.crashes == []
 
