--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -299,11 +299,11 @@
         """Sets a socket fault of the exchanges, by its attribute name."""
         exchanges = self._exchanges(trouble)
         for exchange in exchanges:
-            setattr(exchange.flags, fault, active)
+            setattr(exchange.socket_faults, fault, active)
 
         def end() -> None:
             for exchange in exchanges:
-                setattr(exchange.flags, fault, inactive)
+                setattr(exchange.socket_faults, fault, inactive)
 
         return end
 
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -123,15 +123,15 @@
 
     def write(self, data: bytes) -> None:
         """Sends data, subject to region cuts and the exchange's socket faults."""
-        exchange, flags = self.exchange, self.exchange.flags
-        if flags.mute:
+        exchange, socket_faults = self.exchange, self.exchange.socket_faults
+        if socket_faults.mute:
             return
         if not self.is_reachable() or self.blocked_output:
             if not self.blocked_output:
                 exchange.fabric.on_heal.append(self.flush)
             self.blocked_output.append(data)
             return
-        if flags.garble and exchange.draw.random() < flags.garble:
+        if socket_faults.garble and exchange.draw.random() < socket_faults.garble:
             match = re.search(rb"Add=(n/[^{]*)", data)
             if match is not None and self.peer is not None:
                 # An agent that cannot read the transaction id of a request cannot reply to it, so this
@@ -140,9 +140,11 @@
                 exchange.fabric.record.add(now, "dropped", exchange.name, self.peer.name, termination)
             index = exchange.draw.randrange(4, len(data))
             data = data[:index] + bytes([exchange.draw.choice(b'{}"=,\x00\xff')]) + data[index + 1 :]
-        if flags.late_replies and b"Reply=" in data:
-            exchange.kernel.at(exchange.kernel.now() + flags.late_replies, lambda: self.stream.write(data))
-        elif flags.single_bytes or self.write_until > exchange.kernel.now():
+        if socket_faults.late_replies and b"Reply=" in data:
+            exchange.kernel.at(
+                exchange.kernel.now() + socket_faults.late_replies, lambda: self.stream.write(data)
+            )
+        elif socket_faults.single_bytes or self.write_until > exchange.kernel.now():
             send_at = max(self.write_until, exchange.kernel.now())
             for offset in range(len(data)):
                 send_at += 20_000
@@ -150,7 +152,11 @@
             self.write_until = send_at  # later messages must not overtake these bytes
         else:
             self.stream.write(data)
-        if flags.double_replies and b"Reply=" in data and exchange.draw.random() < flags.double_replies:
+        if (
+            socket_faults.double_replies
+            and b"Reply=" in data
+            and exchange.draw.random() < socket_faults.double_replies
+        ):
             exchange.kernel.at(exchange.kernel.now() + 30_000_000, lambda: self.stream.write(data))
 
     def flush(self) -> None:
@@ -164,7 +170,7 @@
         exchange, reason = self.exchange, "closed"
         try:
             while True:
-                while exchange.flags.stall:
+                while exchange.socket_faults.stall:
                     self.uncertain_until = exchange.kernel.now() + 200_000_000
                     yield from exchange.kernel.sleep(20_000_000)
                 data = yield from self.stream.read()
@@ -221,7 +227,7 @@
         self.kernel, self.fabric, self.name, self.number = kernel, fabric, name, number
         self.mid = f"<{name}>"  # H.248 message identifier
         self.own_agent = own_agent
-        self.flags = SocketFaults()
+        self.socket_faults = SocketFaults()
         self.draw = kernel.random_for(f"exchange/{name}")
         settings = fabric.processor_settings
         self.processor = Processor(
@@ -388,7 +394,7 @@
             )
             return
         self.record("add", peer, request.termination, request.reference)
-        if self.flags.reset_setups and self.draw.random() < self.flags.reset_setups:
+        if self.socket_faults.reset_setups and self.draw.random() < self.socket_faults.reset_setups:
             connection.stream.abort()
             return
         self.contexts += 1
@@ -572,7 +578,7 @@
             self.refuse(peer, call, "turned_back")
             return
         self.onward_calls[call.onward_termination] = (peer, call)
-        if not self.flags.mute:  # a muted exchange sent nothing
+        if not self.socket_faults.mute:  # a muted exchange sent nothing
             self.fabric.record.add(
                 self.kernel.now(),
                 "asked",
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -268,9 +268,9 @@
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
         exchange.restart_cold()
-        exchange.flags.mute = True  # accepts connections but does not answer the hello
+        exchange.socket_faults.mute = True  # accepts connections but does not answer the hello
         yield from harness.kernel.sleep(600 * MS)
-        exchange.flags.mute = False
+        exchange.socket_faults.mute = False
         before = harness.agent.guard.exchanges[exchange.name].cold_until
         yield from harness.kernel.sleep(3 * SECOND)
         cold_until.extend((before, harness.agent.guard.exchanges[exchange.name].cold_until))
