--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -23,7 +23,7 @@
     `unreachable`: connections are reset. `mute`: requests are read and not answered. `cut_after`: the
     connection is reset after so many bytes of the following answers; -1 for never. `doubled`: events are sent
     twice. `late`: nanoseconds by which each answer is delayed. `error`: the HTTP status of every answer; 0
-    for none. `news_stuck`: events are held back, in order.
+    for none. `hold_events`: events are held back, in order.
     """
 
     unreachable: bool = False
@@ -32,7 +32,7 @@
     doubled: bool = False
     late: int = 0
     error: int = 0
-    news_stuck: bool = False
+    hold_events: bool = False
 
 
 @dataclass(slots=True)
@@ -243,7 +243,7 @@
     def _send_events(self, watcher: Watcher, events: list[dict[str, Any]]) -> None:
         """Queues events for a watch, and sends all that are queued unless a fault holds them back."""
         watcher.queue += events
-        if self.faults.news_stuck or self.faults.unreachable:
+        if self.faults.hold_events or self.faults.unreachable:
             return  # kept in order, as a watch never skips an event
         events, watcher.queue = watcher.queue, []
         for event in events:
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -124,7 +124,7 @@
             elif fault == "error":
                 faults.error = 503
             elif fault == "stuck":
-                faults.news_stuck = True
+                faults.hold_events = True
             elif fault == "reset":
                 for stream in list(registry.streams):
                     stream.abort()
@@ -140,7 +140,7 @@
             if fault == "progress":
                 registry.progress()
             yield from followed.kernel.sleep(rng.randrange(2000) * MS)
-            faults.doubled = faults.mute = faults.news_stuck = False
+            faults.doubled = faults.mute = faults.hold_events = False
             faults.late = faults.error = 0
             faults.cut_after = -1
             registry.come_back()
@@ -164,11 +164,11 @@
     def body(followed: FollowedRegistry) -> Coroutine[None]:
         followed.put("x1")
         yield from followed.kernel.sleep(SECOND)
-        followed.registry.faults.news_stuck = True
+        followed.registry.faults.hold_events = True
         followed.put("x1", "draining")
         yield from followed.kernel.sleep(500 * MS)
         assert followed.list["x1"] == "ready"
-        followed.registry.faults.news_stuck = False
+        followed.registry.faults.hold_events = False
         yield from followed.kernel.sleep(2 * SECOND)
         assert followed.list["x1"] == "draining"
         assert followed.source.follower.counts.reads == 1
