--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -20,7 +20,7 @@
 class Faults:
     """Faults that are active now.
 
-    `unreachable`: connections are reset. `mute`: requests are read and not answered. `cut_after`: the
+    `unreachable`: connections are reset. `mute`: requests are read and not answered. `reset_after_bytes`: the
     connection is reset after so many bytes of the following answers; -1 for never. `doubled`: events are sent
     twice. `late`: nanoseconds by which each answer is delayed. `error`: the HTTP status of every answer; 0
     for none. `hold_events`: events are held back, in order.
@@ -28,7 +28,7 @@
 
     unreachable: bool = False
     mute: bool = False
-    cut_after: int = -1
+    reset_after_bytes: int = -1
     doubled: bool = False
     late: int = 0
     error: int = 0
@@ -188,14 +188,14 @@
             stream.close()
 
     def write(self, stream: Stream, data: bytes) -> None:
-        """Writes data, subject to the fault `cut_after`."""
-        limit = self.faults.cut_after
+        """Writes data, subject to the fault `reset_after_bytes`."""
+        limit = self.faults.reset_after_bytes
         if 0 <= limit < len(data):
-            self.faults.cut_after = -1
+            self.faults.reset_after_bytes = -1
             stream.write(data[:limit])
             self.kernel.at(self.kernel.now() + 5 * MS, stream.abort)
         else:
-            self.faults.cut_after = limit - len(data) if limit >= 0 else limit
+            self.faults.reset_after_bytes = limit - len(data) if limit >= 0 else limit
             stream.write(data)
 
     def send_response(self, stream: Stream, status: str, body: dict[str, Any]) -> None:
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -114,7 +114,7 @@
             elif fault == "doubled":
                 faults.doubled = True
             elif fault == "cut":
-                faults.cut_after = rng.randrange(400)
+                faults.reset_after_bytes = rng.randrange(400)
             elif fault == "mute":
                 faults.mute = True
                 for stream in list(registry.streams):
@@ -142,7 +142,7 @@
             yield from followed.kernel.sleep(rng.randrange(2000) * MS)
             faults.doubled = faults.mute = faults.hold_events = False
             faults.late = faults.error = 0
-            faults.cut_after = -1
+            faults.reset_after_bytes = -1
             registry.come_back()
         yield from followed.kernel.sleep(
             200 * SECOND
