--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -101,7 +101,7 @@
         for stream in list(self.streams):
             stream.abort()
 
-    def come_back(self) -> None:
+    def recover(self) -> None:
         """Makes the registry reachable again."""
         self.faults.unreachable = False
 
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -69,4 +69,4 @@
 
     def recover(self) -> None:
         """Makes the registry reachable again."""
-        self.registry.come_back()
+        self.registry.recover()
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -143,7 +143,7 @@
             faults.doubled = faults.mute = faults.hold_events = False
             faults.late = faults.error = 0
             faults.reset_after_bytes = -1
-            registry.come_back()
+            registry.recover()
         yield from followed.kernel.sleep(
             200 * SECOND
         )  # readmission after flaps is delayed by at most a minute
@@ -205,7 +205,7 @@
         followed.registry.leave()
         followed.put("x1", "draining")
         yield from kernel.sleep(200 * MS)
-        followed.registry.come_back()
+        followed.registry.recover()
         while followed.list.get("x1") != "draining":
             yield from kernel.sleep(10 * MS)
         kernel.stop()
