--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -252,7 +252,7 @@
         for _ in range(2 if self.faults.doubled else 1):
             self.send_chunk(watcher.stream, {"header": self.header(), "events": events})
 
-    def progress(self) -> None:
+    def send_progress(self) -> None:
         """Sends every watch a progress notification: the present revision, without events."""
         for watcher in self.watchers:
             self.send_chunk(watcher.stream, {"header": self.header()})
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -138,7 +138,7 @@
             if fault == "compact" or rng.random() < 0.3:
                 registry.compact()
             if fault == "progress":
-                registry.progress()
+                registry.send_progress()
             yield from followed.kernel.sleep(rng.randrange(2000) * MS)
             faults.doubled = faults.mute = faults.hold_events = False
             faults.late = faults.error = 0
