--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -120,7 +120,7 @@
     no_advice()
     from peattrestle.standin import callers
 
-    def back_off(self: Any, sale: Any, come_back: int) -> None:
+    def back_off(self: Any, sale: Any, retry_after: int) -> None:
         behaviour = self.traffic.behaviour
         if sale.tries > behaviour.redials or self.closing:
             return
