--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -120,16 +120,16 @@
     no_advice()
     from peattrestle.standin import callers
 
-    def back_off(self: Any, sale: Any, retry_after: int) -> None:
+    def back_off(self: Any, call: Any, retry_after: int) -> None:
         behaviour = self.traffic.behaviour
-        if sale.tries > behaviour.redials or self.closing:
+        if call.tries > behaviour.redials or self.closing:
             return
-        wait = round(behaviour.redial_least * 2**sale.tries * self.draw.uniform(0.5, 1.0))
+        wait = round(behaviour.redial_least * 2**call.tries * self.draw.uniform(0.5, 1.0))
         now = self.kernel.now()
-        if now + wait < sale.first_at + self.bearer(sale).abandon_time:
+        if now + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
-                sale.tries += 1
-            self.kernel.at(now + wait, lambda: None if self.closing else self.dial(sale, sale.cut))
+                call.tries += 1
+            self.kernel.at(now + wait, lambda: None if self.closing else self.dial(call, call.cut))
 
     callers.Gateway.redial = back_off  # type: ignore[method-assign]
 
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -504,22 +504,22 @@
         wait = self.draw.randint(behaviour.return_least, behaviour.return_most)
         self.kernel.at(self.kernel.now() + wait, lambda: None if self.closing else self.dial(call, True))
 
-    def redial(self, sale: CallerCall, retry_after: int) -> None:
+    def redial(self, call: CallerCall, retry_after: int) -> None:
         """Schedules the caller's next attempt, unless the caller gives up first.
 
         `retry_after`: nanoseconds after which the agent advises to try again; 0 for no advice.
         """
         behaviour = self.traffic.behaviour
-        if sale.tries > behaviour.redials or self.closing:
+        if call.tries > behaviour.redials or self.closing:
             return
         wait = self.draw.randint(behaviour.redial_least, behaviour.redial_most)
         if retry_after and not self.is_flooding and self.draw.random() < behaviour.honours:
             wait = retry_after
-        if self.kernel.now() + wait < sale.first_at + self.bearer(sale).abandon_time:
+        if self.kernel.now() + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
-                sale.tries += 1  # an attempt without a connection counts too, so that they come to an end
+                call.tries += 1  # an attempt without a connection counts too, so that they come to an end
             self.kernel.at(
-                self.kernel.now() + wait, lambda: None if self.closing else self.dial(sale, sale.cut)
+                self.kernel.now() + wait, lambda: None if self.closing else self.dial(call, call.cut)
             )
 
     # Faults and shutdown.
