--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -162,7 +162,7 @@
     measured = measurements(script, result) | {"took": time.perf_counter() - started}
     registrations: dict[int, int] = {}
     for gateway in player.world.gateways:
-        for at in gateway.greetings:
+        for at in gateway.registration_times:
             if at > player.started:
                 registrations[at // SECOND] = registrations.get(at // SECOND, 0) + 1
     measured["most hellos/s"] = float(max(registrations.values(), default=0)) / script.fleet.exchanges
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -175,7 +175,7 @@
         self.waiting_delay = 0  # maximum restart delay announced by the agent (H.248.1), nanoseconds
         self.dial_requested = Event(kernel)  # set when a caller dials without a connection
         self.rate_multiple = 1.0  # of its usual share of the exchange's calls
-        self.greetings: list[int] = []  # when the agent accepted its registrations
+        self.registration_times: list[int] = []  # when the agent accepted its registrations
         self.flooded = False  # has ignored all advice at some time
         self.is_flooding = False  # ignores all advice from the agent now
         kernel.spawn(self.connect(), self.name)
@@ -274,7 +274,7 @@
                 self.on_call_cut(attempt)
         self.agent_run = agent_run
         self.ready = True
-        self.greetings.append(self.kernel.now())
+        self.registration_times.append(self.kernel.now())
         releases, self.pending_releases = self.pending_releases[-10_000:], []
         for termination in releases:
             self.send_pending_release(termination)
