--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -166,14 +166,14 @@
             if at > player.started:
                 registrations[at // SECOND] = registrations.get(at // SECOND, 0) + 1
     measured["most hellos/s"] = float(max(registrations.values(), default=0)) / script.fleet.exchanges
-    if any(gateway.flooded for gateway in player.world.gateways):
+    if any(gateway.has_flooded for gateway in player.world.gateways):
         first = player.started + min(trouble.at for trouble in script.trouble)
         until = player.started + max(trouble.at + trouble.length for trouble in script.trouble)
-        flooded_numbers = {gateway.number for gateway in player.world.gateways if gateway.flooded}
+        flooded_numbers = {gateway.number for gateway in player.world.gateways if gateway.has_flooded}
         neighbours = [
             gateway
             for gateway in player.world.gateways
-            if gateway.number in flooded_numbers and not gateway.flooded
+            if gateway.number in flooded_numbers and not gateway.has_flooded
         ]
         served = service(neighbours, first, until)
         measured["beside"] = served.earned / served.offered
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -275,7 +275,7 @@
         last_gateways = {gateway.number: gateway for gateway in self.world.gateways}
         gateways = [gateway for number, gateway in last_gateways.items() if number in numbers]
         for gateway in gateways:
-            gateway.is_flooding = gateway.flooded = True
+            gateway.is_flooding = gateway.has_flooded = True
             gateway.rate_multiple = max(1.0, trouble.figure)
         self.world.set_rates()
 
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -176,7 +176,7 @@
         self.dial_requested = Event(kernel)  # set when a caller dials without a connection
         self.rate_multiple = 1.0  # of its usual share of the exchange's calls
         self.registration_times: list[int] = []  # when the agent accepted its registrations
-        self.flooded = False  # has ignored all advice at some time
+        self.has_flooded = False  # has ignored all advice at some time
         self.is_flooding = False  # ignores all advice from the agent now
         kernel.spawn(self.connect(), self.name)
 
