--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -122,14 +122,14 @@
 
     def back_off(self: Any, call: Any, retry_after: int) -> None:
         behaviour = self.traffic.behaviour
-        if call.tries > behaviour.redials or self.closing:
+        if call.tries > behaviour.redials or self.is_closing:
             return
         wait = round(behaviour.redial_least * 2**call.tries * self.draw.uniform(0.5, 1.0))
         now = self.kernel.now()
         if now + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
                 call.tries += 1
-            self.kernel.at(now + wait, lambda: None if self.closing else self.dial(call, call.cut))
+            self.kernel.at(now + wait, lambda: None if self.is_closing else self.dial(call, call.cut))
 
     callers.Gateway.redial = back_off  # type: ignore[method-assign]
 
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -169,7 +169,7 @@
         self.counts: dict[str, int] = {}
         self.attempt_count = 0
         self.replies_after_abandon = 0
-        self.closing = False
+        self.is_closing = False
         self.failed_connections = 0
         self.bucket = LeakyBucket()
         self.waiting_delay = 0  # maximum restart delay announced by the agent (H.248.1), nanoseconds
@@ -188,7 +188,7 @@
 
     def connect(self) -> Coroutine[None]:
         """Keeps the gateway connected until it is closed."""
-        while not self.closing:
+        while not self.is_closing:
             try:
                 stream = yield from self.kernel.connect(self.address(), SECOND, self.name)
                 yield from self.run_session(stream)
@@ -290,11 +290,11 @@
 
     def generate_calls(self) -> Coroutine[None]:
         """Generates new calls as a Poisson process at the present rate of the traffic."""
-        while not self.closing:
+        while not self.is_closing:
             rate = self.traffic.rate
             wait = self.draw.expovariate(rate) if rate > 0 else 0.1
             yield from self.kernel.sleep(min(round(wait * SECOND), SECOND))
-            if rate > 0 and wait <= 1.0 and not self.closing:
+            if rate > 0 and wait <= 1.0 and not self.is_closing:
                 self.start_call()
 
     def start_call(self) -> CallerCall:
@@ -502,7 +502,7 @@
         self.finish(attempt)
         call.cut, call.reestablished, call.tries = True, False, 0
         wait = self.draw.randint(behaviour.return_least, behaviour.return_most)
-        self.kernel.at(self.kernel.now() + wait, lambda: None if self.closing else self.dial(call, True))
+        self.kernel.at(self.kernel.now() + wait, lambda: None if self.is_closing else self.dial(call, True))
 
     def redial(self, call: CallerCall, retry_after: int) -> None:
         """Schedules the caller's next attempt, unless the caller gives up first.
@@ -510,7 +510,7 @@
         `retry_after`: nanoseconds after which the agent advises to try again; 0 for no advice.
         """
         behaviour = self.traffic.behaviour
-        if call.tries > behaviour.redials or self.closing:
+        if call.tries > behaviour.redials or self.is_closing:
             return
         wait = self.draw.randint(behaviour.redial_least, behaviour.redial_most)
         if retry_after and not self.is_flooding and self.draw.random() < behaviour.honours:
@@ -519,7 +519,7 @@
             if not self.ready:
                 call.tries += 1  # an attempt without a connection counts too, so that they come to an end
             self.kernel.at(
-                self.kernel.now() + wait, lambda: None if self.closing else self.dial(call, call.cut)
+                self.kernel.now() + wait, lambda: None if self.is_closing else self.dial(call, call.cut)
             )
 
     # Faults and shutdown.
@@ -531,7 +531,7 @@
 
     def close(self) -> None:
         """Stops new connections and attempts."""
-        self.closing = True
+        self.is_closing = True
 
     def open_attempts(self) -> int:
         """Attempts that have no answer yet."""
