--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -161,7 +161,7 @@
     signal.signal(signal.SIGTERM, interrupted)
     try:
         with tempfile.TemporaryDirectory(prefix="peattrestle-") as folder:
-            result = play.play(loaded, kernel or loaded.kernel, Path(folder), say=print_progress)
+            result = play.play(loaded, kernel or loaded.kernel, Path(folder), report_progress=print_progress)
     except play.CouldNotRun as error:
         fail(CANNOT_RUN, error)
     except KeyboardInterrupt:
--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -76,7 +76,7 @@
     """One run of a script on the kernel named 'virtual' or 'epoll'.
 
     `folder`: for the files of agents that run as processes, needed with 'epoll'. `agent_factory`: builds an
-    agent on the virtual kernel. `say`: receives progress messages.
+    agent on the virtual kernel. `report_progress`: receives progress messages.
     """
 
     def __init__(
@@ -85,9 +85,9 @@
         kernel: str,
         folder: Path | None = None,
         agent_factory: AgentFactory = CallAgent,
-        say: Callable[[str], None] = lambda text: None,
+        report_progress: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self.script, self.say = script, say
+        self.script, self.report_progress = script, report_progress
         self.kernel: VirtualKernel | EpollKernel
         self.kernel = VirtualKernel(script.seed) if kernel == "virtual" else EpollKernel(script.seed)
         self.world = World(self.kernel, script)
@@ -135,7 +135,7 @@
         yield from kernel.sleep(500 * MS)  # trunk groups are reported once the agents are connected
         started = self.started = kernel.now()
         kernel.spawn(self.sampler.run(), "sampler")
-        self.say(f"{script.fleet.exchanges} agents ready")
+        self.report_progress(f"{script.fleet.exchanges} agents ready")
         for step in script.load:
             kernel.at(started + step.at, lambda step=step: self.set_level(step.level))  # type: ignore[misc]
         world.set_rates()
@@ -149,7 +149,7 @@
                 break
         for task in arrivals:
             task.cancel()
-        self.say("all calls offered; waiting for them to end")
+        self.report_progress("all calls offered; waiting for them to end")
         troubles_end = max((trouble.at + trouble.length for trouble in script.trouble), default=0) + started
         deadline = max(kernel.now(), troubles_end) + 30 * SECOND
         while kernel.now() < deadline and (
@@ -315,10 +315,10 @@
     kernel: str,
     folder: Path | None = None,
     agent_factory: AgentFactory = CallAgent,
-    say: Callable[[str], None] = lambda text: None,
+    report_progress: Callable[[str], None] = lambda text: None,
     seed: int | None = None,
 ) -> Result:
     """Plays a script, with another seed where `seed` is given; see `Player`. Raises CouldNotRun."""
     if seed is not None:
         script = replace(script, seed=seed)
-    return Player(script, kernel, folder, agent_factory, say).play()
+    return Player(script, kernel, folder, agent_factory, report_progress).play()
