--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -202,12 +202,12 @@
     if script.trouble:
         first = min(trouble.at for trouble in script.trouble) // SECOND
         ended = -(-max(trouble.at + trouble.length for trouble in script.trouble) // SECOND)
-        before = series.over(max(0, first - 10), first)
+        before = series.mean_service(max(0, first - 10), first)
         recovery = series.back_after(before, 0.95, ended, 5)
         measured |= {
             "before": before,
-            "10 s after": series.over(ended, min(seconds, ended + 10)),
-            "later": series.over(min(seconds, ended + 10), seconds),
+            "10 s after": series.mean_service(ended, min(seconds, ended + 10)),
+            "later": series.mean_service(min(seconds, ended + 10), seconds),
             "back s": float(recovery if recovery >= 0 else seconds - ended),
         }
     return measured
--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -256,7 +256,7 @@
         if requirements.back_to and troubles:
             first = min(trouble.at for trouble in troubles) // SECOND
             ended = -(-max(trouble.at + trouble.length for trouble in troubles) // SECOND)
-            service_before = series.over(max(0, first - 10), first)
+            service_before = series.mean_service(max(0, first - 10), first)
             recovery = series.back_after(service_before, requirements.back_to, ended, 5)
             text = f"{recovery} s after the last trouble" if recovery >= 0 else "not at all"
             checks.append(
--- a/peattrestle/rehearsal/series.py
+++ b/peattrestle/rehearsal/series.py
@@ -33,7 +33,7 @@
     pressed: list[float] = field(default_factory=list)
     useful: list[float] = field(default_factory=list)
 
-    def over(self, since: int, until: int) -> float:
+    def mean_service(self, since: int, until: int) -> float:
         """Service of the callers who began in the seconds [`since`, `until`), weighted by their number."""
         pairs = [
             (value, weight)
@@ -49,7 +49,7 @@
         It is back at the first of `span` seconds that together have at least `share` of the service `before`.
         """
         for at in range(healed, len(self.service) - span + 1):
-            if self.over(at, at + span) >= share * before:
+            if self.mean_service(at, at + span) >= share * before:
                 return at - healed
         return -1
 
