--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -203,7 +203,7 @@
         first = min(trouble.at for trouble in script.trouble) // SECOND
         ended = -(-max(trouble.at + trouble.length for trouble in script.trouble) // SECOND)
         before = series.mean_service(max(0, first - 10), first)
-        recovery = series.back_after(before, 0.95, ended, 5)
+        recovery = series.recovery_seconds(before, 0.95, ended, 5)
         measured |= {
             "before": before,
             "10 s after": series.mean_service(ended, min(seconds, ended + 10)),
--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -257,7 +257,7 @@
             first = min(trouble.at for trouble in troubles) // SECOND
             ended = -(-max(trouble.at + trouble.length for trouble in troubles) // SECOND)
             service_before = series.mean_service(max(0, first - 10), first)
-            recovery = series.back_after(service_before, requirements.back_to, ended, 5)
+            recovery = series.recovery_seconds(service_before, requirements.back_to, ended, 5)
             text = f"{recovery} s after the last trouble" if recovery >= 0 else "not at all"
             checks.append(
                 Check(
--- a/peattrestle/rehearsal/series.py
+++ b/peattrestle/rehearsal/series.py
@@ -43,7 +43,7 @@
         total = sum(weight for _, weight in pairs)
         return sum(value * weight for value, weight in pairs) / total if total else -1.0
 
-    def back_after(self, before: float, share: float, healed: int, span: int) -> int:
+    def recovery_seconds(self, before: float, share: float, healed: int, span: int) -> int:
         """Seconds from `healed` until service is back, or -1 if it never is.
 
         It is back at the first of `span` seconds that together have at least `share` of the service `before`.
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -57,4 +57,4 @@
 )
 def test_seconds_until_service_is_back(service: list[float], after: int) -> None:
     series = Series(service=service, firsts=[10] * len(service))
-    assert series.back_after(series.mean_service(0, 5), 0.95, 8, 3) == after
+    assert series.recovery_seconds(series.mean_service(0, 5), 0.95, 8, 3) == after
