--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -10,7 +10,7 @@
 from peattrestle.settings import agent as settings
 from peattrestle.standin.callers import BearerProfile, CallerBehaviour, Gateway, Traffic
 from peattrestle.standin.exchange import StandinExchange
-from peattrestle.standin.fabric import Fabric, ProcessorSettings
+from peattrestle.standin.fabric import ExchangeNetwork, ProcessorSettings
 from peattrestle.standin.list_source import ListSource
 from peattrestle.standin.record import Record
 from peattrestle.standin.registry_list_source import RegistryListSource
@@ -37,7 +37,7 @@
             + defaults.release_work
         )
         scale = fleet.busy * SECOND / (fleet.calls_a_second * work_per_call)
-        self.fabric = Fabric(
+        self.fabric = ExchangeNetwork(
             kernel,
             self.record,
             ProcessorSettings(
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -17,7 +17,7 @@
 from peattrestle.h248.text import Action, Command, Malformed, Request
 from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
 from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
-from peattrestle.standin.fabric import Fabric, Group, SocketFaults
+from peattrestle.standin.fabric import ExchangeNetwork, Group, SocketFaults
 from peattrestle.standin.processor import Processor
 
 
@@ -217,7 +217,7 @@
     def __init__(
         self,
         kernel: Kernel,
-        fabric: Fabric,
+        fabric: ExchangeNetwork,
         name: str,
         number: int,
         address: str,
--- a/peattrestle/standin/fabric.py
+++ b/peattrestle/standin/fabric.py
@@ -54,7 +54,7 @@
     urgent_first: bool = True
 
 
-class Fabric:
+class ExchangeNetwork:
     """The network between the simulated exchanges."""
 
     def __init__(
