--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -10,7 +10,7 @@
 from peattrestle.settings import agent as settings
 from peattrestle.standin.callers import BearerProfile, CallerBehaviour, Gateway, Traffic
 from peattrestle.standin.exchange import StandinExchange
-from peattrestle.standin.fabric import ExchangeNetwork, ProcessorSettings
+from peattrestle.standin.exchange_network import ExchangeNetwork, ProcessorSettings
 from peattrestle.standin.list_source import ListSource
 from peattrestle.standin.record import Record
 from peattrestle.standin.registry_list_source import RegistryListSource
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -17,7 +17,7 @@
 from peattrestle.h248.text import Action, Command, Malformed, Request
 from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
 from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
-from peattrestle.standin.fabric import ExchangeNetwork, Group, SocketFaults
+from peattrestle.standin.exchange_network import ExchangeNetwork, Group, SocketFaults
 from peattrestle.standin.processor import Processor
 
 
