--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -164,8 +164,8 @@
                 gateway.hang_up(attempt)
         yield from kernel.sleep(5 * SECOND)  # time for releases to be confirmed or repeated
         world.record_cold_load()
-        self.leaks = world.fabric.leaks() + sum(
-            1 for exchange in world.fabric.exchanges.values() for _ in exchange.circuits_in_use()
+        self.leaks = world.network.leaks() + sum(
+            1 for exchange in world.network.exchanges.values() for _ in exchange.circuits_in_use()
         )
         self.agents = self.hosts.counts()
         kernel.stop()
--- a/peattrestle/rehearsal/series.py
+++ b/peattrestle/rehearsal/series.py
@@ -65,16 +65,16 @@
 
     def run(self) -> Coroutine[None]:
         """Takes a sample each second until the kernel stops."""
-        kernel, fabric = self.world.kernel, self.world.fabric
-        for exchange in fabric.exchanges.values():
+        kernel, network = self.world.kernel, self.world.network
+        for exchange in network.exchanges.values():
             self._set_ups_received[exchange.name] = exchange.processor.set_ups_received
         self._completed_work = sum(
-            exchange.processor.completed_work for exchange in fabric.exchanges.values()
+            exchange.processor.completed_work for exchange in network.exchanges.values()
         )
         while True:
             yield from kernel.sleep(SECOND)
             longest_wait, peak_load, completed_work = 0, 0.0, 0
-            for exchange in fabric.exchanges.values():
+            for exchange in network.exchanges.values():
                 processor = exchange.processor
                 longest_wait = max(longest_wait, processor.expected_wait())
                 received = processor.set_ups_received - self._set_ups_received.get(exchange.name, 0)
@@ -111,7 +111,7 @@
             round(earned_amount / offered_amount, 4) if offered_amount else -1.0
             for earned_amount, offered_amount in zip(earned, offered, strict=True)
         ]
-        processor_settings = self.world.fabric.processor_settings
+        processor_settings = self.world.network.processor_settings
         work_per_call = (
             2 * processor_settings.set_up_work
             + processor_settings.answer_work
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -54,7 +54,7 @@
             self.kernel.at(self.kernel.now() + trouble.length, end)
 
     def _exchanges(self, trouble: Trouble) -> list[StandinExchange]:
-        return [self.world.fabric.exchanges[number] for number in self.exchange_numbers(trouble)]
+        return [self.world.network.exchanges[number] for number in self.exchange_numbers(trouble)]
 
     # Processors.
 
@@ -139,22 +139,22 @@
 
     def begin_answers_lost(self, trouble: Trouble) -> Callable[[], None]:
         """The share `figure` of the answers to set-ups is never sent."""
-        self.world.fabric.answers_lost = min(1.0, trouble.figure)
+        self.world.network.answers_lost = min(1.0, trouble.figure)
 
         def end() -> None:
-            self.world.fabric.answers_lost = 0.0
+            self.world.network.answers_lost = 0.0
 
         return end
 
     def begin_region_cut(self, trouble: Trouble) -> Callable[[], None]:
         """Exchanges of a region and those of other regions cannot reach each other."""
-        fabric, regions = self.world.fabric, self.world.script.fleet.regions
+        network, regions = self.world.network, self.world.script.fleet.regions
         region = trouble.region or self.draw.choice(regions)
-        fabric.cut_regions.add(region)
+        network.cut_regions.add(region)
 
         def end_cut() -> None:
-            fabric.cut_regions.discard(region)
-            fabric.heal()
+            network.cut_regions.discard(region)
+            network.heal()
 
         return end_cut
 
@@ -163,34 +163,34 @@
 
         Established calls are cut until those left fit.
         """
-        fabric, regions = self.world.fabric, self.world.script.fleet.regions
+        network, regions = self.world.network, self.world.script.fleet.regions
         region = trouble.region or self.draw.choice(regions)
         groups = [
             group
-            for group in fabric.groups.values()
-            if (fabric.regions[group.ends[0]] == region) != (fabric.regions[group.ends[1]] == region)
+            for group in network.groups.values()
+            if (network.regions[group.ends[0]] == region) != (network.regions[group.ends[1]] == region)
         ]
         for group in groups:
             group.out_of_service = group.size - round(group.size * min(1.0, trouble.figure))
             excess = group.taken - group.working()
             for number in group.ends:
-                exchange = fabric.exchanges[number]
+                exchange = network.exchanges[number]
                 for peer, call in exchange.established_calls():
                     if excess > 0 and peer.number in group.ends and call.has_circuits:
                         excess -= call.request.width
                         exchange.cut_call(peer, call)
-            fabric.schedule_report(group)
+            network.schedule_report(group)
 
         def restore() -> None:
             for group in groups:
                 group.out_of_service = 0
-                fabric.schedule_report(group)
+                network.schedule_report(group)
 
         return restore
 
     def begin_cut_calls(self, trouble: Trouble) -> None:
         """The share `figure` of the established calls is cut."""
-        for exchange in list(self.world.fabric.exchanges.values()):
+        for exchange in list(self.world.network.exchanges.values()):
             for peer, call in exchange.established_calls():
                 if self.draw.random() < trouble.figure:
                     exchange.cut_call(peer, call)
@@ -234,7 +234,7 @@
         """The share `figure` of all calls goes to one number, which has 3 lines."""
         destination = self.exchange_numbers(trouble)[0]
         number = f"hot.{destination}"
-        self.world.fabric.line_limits[number] = 3
+        self.world.network.line_limits[number] = 3
         for gateway in self.world.gateways:
             gateway.traffic.hot_number = (number, destination, min(1.0, trouble.figure))
 
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -37,7 +37,7 @@
             + defaults.release_work
         )
         scale = fleet.busy * SECOND / (fleet.calls_a_second * work_per_call)
-        self.fabric = ExchangeNetwork(
+        self.network = ExchangeNetwork(
             kernel,
             self.record,
             ProcessorSettings(
@@ -67,12 +67,12 @@
         ]
         self.weights = self._plan(count)
         for number in range(count):
-            self.fabric.regions[number] = fleet.regions[number % len(fleet.regions)]
+            self.network.regions[number] = fleet.regions[number % len(fleet.regions)]
         source = RegistryListSource if fleet.registry else ListSource
         self.exchange_list: RegistryListSource | ListSource = source(
             kernel, self.record, "127.0.0.1:0", fleet.list_late_least, fleet.list_late_most
         )
-        self.exchange_list.regions = self.fabric.regions
+        self.exchange_list.regions = self.network.regions
         self.replacements = 0
         for number in range(count):
             self.add_exchange(number, cold=False)
@@ -118,7 +118,7 @@
         unconnected = set(sorted(pairs, key=lambda pair: pairs[pair])[: int(fleet.no_group * len(pairs))])
         for (exchange, other), erlangs in pairs.items():
             if (exchange, other) not in unconnected:
-                self.fabric.add_group(
+                self.network.add_group(
                     exchange, other, math.ceil(erlangs * fleet.spare + math.sqrt(erlangs) + 2)
                 )
         return weights
@@ -127,8 +127,8 @@
         """Starts an exchange and lists it as ready; a cold one replaces another of the same number."""
         self.replacements += cold
         name = f"x{number}" + (f"r{self.replacements}" if cold else "")
-        exchange = StandinExchange(self.kernel, self.fabric, name, number, "127.0.0.1:0", f"a{number}", cold)
-        self.fabric.exchanges[number] = exchange
+        exchange = StandinExchange(self.kernel, self.network, name, number, "127.0.0.1:0", f"a{number}", cold)
+        self.network.exchanges[number] = exchange
         self.exchange_list.set_state(exchange, "ready")
         return exchange
 
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -118,7 +118,7 @@
         return (
             peer is None
             or peer.number < 0
-            or self.exchange.fabric.reachable(peer.number, self.exchange.number)
+            or self.exchange.network.reachable(peer.number, self.exchange.number)
         )
 
     def write(self, data: bytes) -> None:
@@ -128,7 +128,7 @@
             return
         if not self.is_reachable() or self.blocked_output:
             if not self.blocked_output:
-                exchange.fabric.on_heal.append(self.flush)
+                exchange.network.on_heal.append(self.flush)
             self.blocked_output.append(data)
             return
         if socket_faults.garble and exchange.draw.random() < socket_faults.garble:
@@ -137,7 +137,7 @@
                 # An agent that cannot read the transaction id of a request cannot reply to it, so this
                 # request is recorded as dropped: the sender only finds out by its own timeout.
                 now, termination = exchange.kernel.now(), match.group(1).decode()
-                exchange.fabric.record.add(now, "dropped", exchange.name, self.peer.name, termination)
+                exchange.network.record.add(now, "dropped", exchange.name, self.peer.name, termination)
             index = exchange.draw.randrange(4, len(data))
             data = data[:index] + bytes([exchange.draw.choice(b'{}"=,\x00\xff')]) + data[index + 1 :]
         if socket_faults.late_replies and b"Reply=" in data:
@@ -179,7 +179,7 @@
                 if self.delayed_input or not self.is_reachable():
                     # The region is cut off: received at the socket now, handled when the region heals.
                     if not self.delayed_input:
-                        exchange.fabric.on_heal.append(self.handle_delayed_input)
+                        exchange.network.on_heal.append(self.handle_delayed_input)
                     self.delayed_input.append((exchange.kernel.now(), data))
                 else:
                     self.handle_data(exchange.kernel.now(), data)
@@ -199,7 +199,7 @@
         if peer is None or peer.connection is not self:
             return
         peer.connection = None
-        exchange.fabric.record.add(exchange.kernel.now(), "lost", exchange.name, peer.name, text=reason)
+        exchange.network.record.add(exchange.kernel.now(), "lost", exchange.name, peer.name, text=reason)
         for pending in peer.transactions.close_all():
             if isinstance(pending, ExchangeCall):
                 exchange.handle_onward_lost(peer, pending)
@@ -217,19 +217,19 @@
     def __init__(
         self,
         kernel: Kernel,
-        fabric: ExchangeNetwork,
+        network: ExchangeNetwork,
         name: str,
         number: int,
         address: str,
         own_agent: str,
         cold: bool = False,
     ) -> None:
-        self.kernel, self.fabric, self.name, self.number = kernel, fabric, name, number
+        self.kernel, self.network, self.name, self.number = kernel, network, name, number
         self.mid = f"<{name}>"  # H.248 message identifier
         self.own_agent = own_agent
         self.socket_faults = SocketFaults()
         self.draw = kernel.random_for(f"exchange/{name}")
-        settings = fabric.processor_settings
+        settings = network.processor_settings
         self.processor = Processor(
             kernel,
             settings.routing_work + settings.set_up_work,
@@ -274,7 +274,7 @@
     ) -> None:
         """Adds a row to the traffic record; what was received is stamped with its time of arrival."""
         incoming = kind in ("add", "freed")
-        self.fabric.record.add(
+        self.network.record.add(
             self.received_at if incoming else self.kernel.now(),
             kind,
             self.name,
@@ -289,7 +289,7 @@
         """Records that the cold processor failed under load; `senders` are the agents of that window's set-
         ups.
         """
-        self.fabric.record.add(
+        self.network.record.add(
             self.kernel.now(), "fell", self.name, "", value=self.started_at, text=" ".join(senders)
         )
 
@@ -322,13 +322,13 @@
             )
             if age:
                 now = self.kernel.now()
-                self.fabric.record.add(now, "told", self.name, peer.name, text=f"{self.name} started")
+                self.network.record.add(now, "told", self.name, peer.name, text=f"{self.name} started")
             if peer.name == self.own_agent and peer.connection is not None:
                 releases, self.pending_releases = self.pending_releases, []
                 for termination in releases[-10_000:]:
                     self.send_release(peer, termination)
                 self.report_groups(
-                    group for group in self.fabric.groups.values() if self.number in group.ends
+                    group for group in self.network.groups.values() if self.number in group.ends
                 )
         elif command.name == "Notify":
             if package.is_cut(command) and command.termination in self.onward_calls:
@@ -401,11 +401,11 @@
         call = peer.calls[request.termination] = ExchangeCall(
             peer.name, transaction_id, request, self.contexts
         )
-        if not self.fabric.take_circuits(peer.number, self.number, request.width):
+        if not self.network.take_circuits(peer.number, self.number, request.width):
             self.refuse(peer, call, "no_circuit")
             return
         call.has_circuits = True
-        settings, origin = self.fabric.processor_settings, self.fabric.exchanges.get(peer.number)
+        settings, origin = self.network.processor_settings, self.network.exchanges.get(peer.number)
 
         def start_processing() -> None:
             if call.state != "working":
@@ -431,7 +431,7 @@
         request = call.request
         if request.destination != self.number:
             self.send_onward(peer, call)
-        elif not self.fabric.take_line(request.number):
+        elif not self.network.take_line(request.number):
             self.refuse(peer, call, "lines_busy")
         else:
             call.has_line = True
@@ -440,9 +440,9 @@
     def establish(self, peer: AgentPeer, call: ExchangeCall) -> None:
         """Marks the call established and answers the set-up, unless the answer is to be lost."""
         call.state = "stands"
-        if self.fabric.answers_lost and self.draw.random() < self.fabric.answers_lost:
+        if self.network.answers_lost and self.draw.random() < self.network.answers_lost:
             return  # simulated loss: the call is established and its answer is never sent
-        origin = self.fabric.exchanges.get(peer.number)
+        origin = self.network.exchanges.get(peer.number)
 
         def send_answer() -> None:
             if call.state == "stands":
@@ -451,7 +451,7 @@
         if origin is None:
             send_answer()
         else:
-            origin.processor.submit_urgent(self.fabric.processor_settings.answer_work, send_answer)
+            origin.processor.submit_urgent(self.network.processor_settings.answer_work, send_answer)
 
     def refuse(self, peer: AgentPeer, call: ExchangeCall, cause: str) -> None:
         """Refuses a set-up for `cause` and frees what it held."""
@@ -471,7 +471,7 @@
 
     def load(self, agent: int) -> dict[str, float]:
         """The load sent with replies: processor queue and rate, free and working circuits to `agent`."""
-        group = self.fabric.group(agent, self.number)
+        group = self.network.group(agent, self.number)
         load = {"queue": float(self.processor.queue_length()), "rate": round(self.processor.set_up_rate(), 1)}
         if group is not None:
             load |= {"free": float(group.free()), "size": float(group.working())}
@@ -523,10 +523,10 @@
         call.state = "over"
         self.release_onward(call)
         if call.has_line:
-            self.fabric.free_line(call.request.number)
+            self.network.free_line(call.request.number)
         if after_work and not self.processor.silent and not self.processor.failed and not self.stopped:
             self.processor.submit_urgent(
-                self.fabric.processor_settings.release_work, lambda: self.free_circuits(peer, call)
+                self.network.processor_settings.release_work, lambda: self.free_circuits(peer, call)
             )
         else:
             self.free_circuits(peer, call)
@@ -536,7 +536,7 @@
         peer.calls.pop(call.request.termination, None)
         if call.has_circuits:
             call.has_circuits = False
-            self.fabric.return_circuits(peer.number, self.number, call.request.width)
+            self.network.return_circuits(peer.number, self.number, call.request.width)
 
     # Transit calls, handed to the own agent.
 
@@ -579,7 +579,7 @@
             return
         self.onward_calls[call.onward_termination] = (peer, call)
         if not self.socket_faults.mute:  # a muted exchange sent nothing
-            self.fabric.record.add(
+            self.network.record.add(
                 self.kernel.now(),
                 "asked",
                 self.name,
@@ -593,7 +593,7 @@
         """Records a second answer to a transit call; a reply to an unknown transaction is ignored."""
         termination = self.onward_terminations.get(transaction_id, "")
         if termination and peer.name == self.own_agent:
-            self.fabric.record.add(
+            self.network.record.add(
                 self.kernel.now(), "answered", self.name, peer.name, termination, text="again"
             )
 
@@ -605,7 +605,9 @@
         if peer.connection is None:
             self.pending_releases.append(call.onward_termination)
             return
-        self.fabric.record.add(self.kernel.now(), "subtracted", self.name, peer.name, call.onward_termination)
+        self.network.record.add(
+            self.kernel.now(), "subtracted", self.name, peer.name, call.onward_termination
+        )
         self.send_release(peer, call.onward_termination)
 
     def repeat_release(self, peer: AgentPeer, transaction_id: int, termination: str) -> None:
@@ -629,14 +631,14 @@
         if code not in (0, package.UNKNOWN_TERMINATION):
             self.send_release(peer, termination)  # the agent could not read the request
             return
-        self.fabric.record.add(self.kernel.now(), "confirmed", self.name, peer.name, termination)
+        self.network.record.add(self.kernel.now(), "confirmed", self.name, peer.name, termination)
         for transaction_id, request in list(peer.transactions.open.items()):
             if isinstance(request, ExchangeCall) and request.onward_termination == termination:
                 peer.transactions.close(transaction_id)
 
     def handle_onward_lost(self, peer: AgentPeer, call: ExchangeCall) -> None:
         """Handles a transit set-up whose connection was lost before its answer."""
-        self.fabric.record.add(self.kernel.now(), "dropped", self.name, peer.name, call.onward_termination)
+        self.network.record.add(self.kernel.now(), "dropped", self.name, peer.name, call.onward_termination)
         self.pending_releases.append(call.onward_termination)  # its answer may be what was lost
         entry = self.onward_calls.pop(call.onward_termination, None)
         if entry is not None and call.state == "onward":
@@ -647,7 +649,7 @@
         entry = self.onward_calls.get(call.onward_termination)
         own_peer = self.agents.get(self.own_agent)
         if own_peer is not None:
-            self.fabric.record.add(
+            self.network.record.add(
                 self.kernel.now(),
                 "answered",
                 self.name,
@@ -674,7 +676,7 @@
         if call.state == "over":
             return
         self.end_call(peer, call)
-        self.fabric.record.add(self.kernel.now(), "cut", self.name, peer.name, call.request.termination)
+        self.network.record.add(self.kernel.now(), "cut", self.name, peer.name, call.request.termination)
         if peer.connection is not None:
             peer.connection.session.request(
                 None,
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -158,7 +158,7 @@
 
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
-        harness.world.fabric.exchanges[1].processor.silent = True
+        harness.world.network.exchanges[1].processor.silent = True
         session, stream = yield from harness.gateway()
         harness.kernel.spawn(harness.listen(session, stream), "listen")
         harness.call(session, 1)
@@ -192,7 +192,7 @@
 def test_a_connection_reset_in_each_state_of_a_call(side: str, state: str) -> None:
     """At most one final answer, none to a gateway that has gone, and no circuit or call left at the end."""
     harness = AgentHarness(Limits())
-    exchange = harness.world.fabric.exchanges[1]
+    exchange = harness.world.network.exchanges[1]
 
     def reset(stream: Stream) -> None:
         if side == "gateway":
@@ -232,8 +232,8 @@
     expected = {"gateway": {"asked": 0, "out": 0}}.get(side, {}).get(state, 1)
     assert len(answers) == expected
     assert harness.agent.calls == {} and harness.agent.terminations == {}
-    assert not exchange.agents["a0"].calls and harness.world.fabric.leaks() == 0
-    assert all(group.taken == 0 for group in harness.world.fabric.groups.values())
+    assert not exchange.agents["a0"].calls and harness.world.network.leaks() == 0
+    assert all(group.taken == 0 for group in harness.world.network.groups.values())
     assert harness.agent.guard.refusals == {} and harness.kernel.crashes == []
 
 
@@ -256,13 +256,13 @@
     harness.run(body())
     assert harness.answers() == {}
     assert harness.agent.counts.values.get("guard_refusals", 0) == 0
-    assert harness.agent.calls == {} and harness.world.fabric.leaks() == 0
+    assert harness.agent.calls == {} and harness.world.network.leaks() == 0
 
 
 def test_an_unanswered_hello_is_repeated_until_the_restart_is_known() -> None:
     """Guards against a lost hello reply: the agent misses the restart and keeps transit calls for ever."""
     harness = AgentHarness(Limits())
-    exchange = harness.world.fabric.exchanges[0]  # the agent's own
+    exchange = harness.world.network.exchanges[0]  # the agent's own
     cold_until: list[int] = []
 
     def body() -> Coroutine[None]:
