--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -172,7 +172,7 @@
         ]
         for group in groups:
             group.out_of_service = group.size - round(group.size * min(1.0, trouble.figure))
-            excess = group.taken - group.working()
+            excess = group.in_use - group.working()
             for number in group.ends:
                 exchange = network.exchanges[number]
                 for peer, call in exchange.established_calls():
--- a/peattrestle/standin/exchange_network.py
+++ b/peattrestle/standin/exchange_network.py
@@ -17,17 +17,17 @@
 class Group:
     """A trunk group between two exchanges, used from both ends and by transit calls.
 
-    `taken`: circuits in use. `out_of_service`: circuits lost at present.
+    `in_use`: circuits in use. `out_of_service`: circuits lost at present.
     """
 
     ends: tuple[int, int]
     size: int
     out_of_service: int = 0
-    taken: int = 0
+    in_use: int = 0
 
     def free(self) -> int:
         """Circuits that a new call may use."""
-        return max(0, self.size - self.out_of_service - self.taken)
+        return max(0, self.size - self.out_of_service - self.in_use)
 
     def working(self) -> int:
         """Circuits in service, free or in use."""
@@ -87,7 +87,7 @@
         group = self.group(first, second)
         if group is None or group.free() < width:
             return False
-        group.taken += width
+        group.in_use += width
         self.schedule_report(group)
         return True
 
@@ -95,8 +95,8 @@
         """Returns `width` circuits to the trunk group between two exchanges."""
         group = self.group(first, second)
         if group is not None:
-            group.taken -= width
-            assert group.taken >= 0, f"trunk group {group.ends}: more circuits returned than were taken"
+            group.in_use -= width
+            assert group.in_use >= 0, f"trunk group {group.ends}: more circuits returned than were taken"
             self.schedule_report(group)
 
     def schedule_report(self, group: Group) -> None:
@@ -152,7 +152,7 @@
         for exchange in self.exchanges.values():
             for ends, width in exchange.circuits_in_use():
                 held[ends] = held.get(ends, 0) + width
-        return sum(abs(group.taken - held.get(ends, 0)) for ends, group in self.groups.items())
+        return sum(abs(group.in_use - held.get(ends, 0)) for ends, group in self.groups.items())
 
 
 @dataclass(slots=True)
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -233,7 +233,7 @@
     assert len(answers) == expected
     assert harness.agent.calls == {} and harness.agent.terminations == {}
     assert not exchange.agents["a0"].calls and harness.world.network.leaks() == 0
-    assert all(group.taken == 0 for group in harness.world.network.groups.values())
+    assert all(group.in_use == 0 for group in harness.world.network.groups.values())
     assert harness.agent.guard.refusals == {} and harness.kernel.crashes == []
 
 
