--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -8,7 +8,7 @@
 from peattrestle.rehearsal.script import Trouble
 from peattrestle.rehearsal.world import World
 from peattrestle.runtime import Coroutine, Lost, Refused
-from peattrestle.standin.exchange import StandinExchange
+from peattrestle.standin.exchange import SimulatedExchange
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -53,7 +53,7 @@
         if end is not None:
             self.kernel.at(self.kernel.now() + trouble.length, end)
 
-    def _exchanges(self, trouble: Trouble) -> list[StandinExchange]:
+    def _exchanges(self, trouble: Trouble) -> list[SimulatedExchange]:
         return [self.world.network.exchanges[number] for number in self.exchange_numbers(trouble)]
 
     # Processors.
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -9,7 +9,7 @@
 from peattrestle.runtime import Kernel
 from peattrestle.settings import agent as settings
 from peattrestle.standin.callers import BearerProfile, CallerBehaviour, Gateway, Traffic
-from peattrestle.standin.exchange import StandinExchange
+from peattrestle.standin.exchange import SimulatedExchange
 from peattrestle.standin.exchange_network import ExchangeNetwork, ProcessorSettings
 from peattrestle.standin.list_source import ListSource
 from peattrestle.standin.record import Record
@@ -123,11 +123,13 @@
                 )
         return weights
 
-    def add_exchange(self, number: int, cold: bool) -> StandinExchange:
+    def add_exchange(self, number: int, cold: bool) -> SimulatedExchange:
         """Starts an exchange and lists it as ready; a cold one replaces another of the same number."""
         self.replacements += cold
         name = f"x{number}" + (f"r{self.replacements}" if cold else "")
-        exchange = StandinExchange(self.kernel, self.network, name, number, "127.0.0.1:0", f"a{number}", cold)
+        exchange = SimulatedExchange(
+            self.kernel, self.network, name, number, "127.0.0.1:0", f"a{number}", cold
+        )
         self.network.exchanges[number] = exchange
         self.exchange_list.set_state(exchange, "ready")
         return exchange
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -54,7 +54,7 @@
 class Connection:
     """One connection from an agent, with the simulated socket faults applied to what it reads and writes."""
 
-    def __init__(self, exchange: StandinExchange, stream: Stream) -> None:
+    def __init__(self, exchange: SimulatedExchange, stream: Stream) -> None:
         self.exchange, self.stream = exchange, stream
         self.peer: AgentPeer | None = None
         self.blocked_output: list[bytes] = []  # held back while a region is cut off
@@ -207,7 +207,7 @@
                 exchange.pending_releases.append(pending)
 
 
-class StandinExchange:
+class SimulatedExchange:
     """A simulated exchange and its listening socket.
 
     `own_agent` names the agent attached to this exchange; `address` is the one actually bound. Times are in
--- a/peattrestle/standin/exchange_network.py
+++ b/peattrestle/standin/exchange_network.py
@@ -10,7 +10,7 @@
 from peattrestle.standin.record import Record
 
 if TYPE_CHECKING:
-    from peattrestle.standin.exchange import StandinExchange
+    from peattrestle.standin.exchange import SimulatedExchange
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
         self.kernel, self.record, self.processor_settings = kernel, record, processor_settings
         self.draw = kernel.random_for(seed_name)
         self.groups: dict[tuple[int, int], Group] = {}
-        self.exchanges: dict[int, StandinExchange] = {}
+        self.exchanges: dict[int, SimulatedExchange] = {}
         self.regions: dict[int, str] = {}
         self.cut_regions: set[str] = set()
         self.line_limits: dict[str, int] = {}  # lines of each number called that has few
--- a/peattrestle/standin/list_source.py
+++ b/peattrestle/standin/list_source.py
@@ -5,7 +5,7 @@
 import json
 
 from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
-from peattrestle.standin.exchange import StandinExchange
+from peattrestle.standin.exchange import SimulatedExchange
 from peattrestle.standin.record import Record
 
 
@@ -20,7 +20,7 @@
         self.kernel, self.record = kernel, record
         self.min_delay, self.max_delay = min_delay, max_delay
         self.draw = kernel.random_for("list source")
-        self.exchanges: dict[str, tuple[StandinExchange, str]] = {}
+        self.exchanges: dict[str, tuple[SimulatedExchange, str]] = {}
         self.regions: dict[int, str] = {}
         self.subscribers: dict[str, Stream] = {}
         self.available = True
@@ -78,7 +78,7 @@
             self.record.add(now, "told", "list", name, text=f"{exchange_name} {state}")
         stream.write(json.dumps({"form": form, "entries": rows}).encode() + b"\n")
 
-    def set_state(self, exchange: StandinExchange, state: str) -> None:
+    def set_state(self, exchange: SimulatedExchange, state: str) -> None:
         """Sets the state of an exchange; connected agents learn of it later, each after its own delay."""
         self.exchanges[exchange.name] = (exchange, state)
         for name in list(self.subscribers):
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -5,7 +5,7 @@
 import json
 
 from peattrestle.runtime import Kernel
-from peattrestle.standin.exchange import StandinExchange
+from peattrestle.standin.exchange import SimulatedExchange
 from peattrestle.standin.record import Record
 from peattrestle.standin.registry import StandinRegistry
 
@@ -19,14 +19,14 @@
         self.kernel, self.record = kernel, record
         self.min_delay, self.max_delay = min_delay, max_delay
         self.draw = kernel.random_for("hub registry")
-        self.exchanges: dict[str, tuple[StandinExchange, str]] = {}
+        self.exchanges: dict[str, tuple[SimulatedExchange, str]] = {}
         self.regions: dict[int, str] = {}
         self.registry = StandinRegistry(kernel, address)
         self.registry.on_sent = self.record_sent
         self.address = self.registry.address
         self._last_change: dict[str, int] = {}
 
-    def set_state(self, exchange: StandinExchange, state: str) -> None:
+    def set_state(self, exchange: SimulatedExchange, state: str) -> None:
         """Sets the state of an exchange in the registry, after a random delay if it is known already."""
         is_known = exchange.name in self.exchanges
         self.exchanges[exchange.name] = (exchange, state)
@@ -40,7 +40,7 @@
         )
         self.kernel.at(write_at, lambda: self.write(exchange, state))
 
-    def write(self, exchange: StandinExchange, state: str) -> None:
+    def write(self, exchange: SimulatedExchange, state: str) -> None:
         """Writes the state of an exchange to the registry."""
         if state == "gone":
             self.registry.delete(PREFIX + exchange.name)
