--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -46,7 +46,7 @@
     queue: list[dict[str, Any]] = field(default_factory=list)
 
 
-class StandinRegistry:
+class SimulatedRegistry:
     """An etcd-like key-value store and its listening socket; `cluster` is its cluster id."""
 
     def __init__(self, kernel: Kernel, address: str, cluster: int = 4711) -> None:
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -7,7 +7,7 @@
 from peattrestle.runtime import Kernel
 from peattrestle.standin.exchange import SimulatedExchange
 from peattrestle.standin.record import Record
-from peattrestle.standin.registry import StandinRegistry
+from peattrestle.standin.registry import SimulatedRegistry
 
 PREFIX = "/peattrestle/exchanges/"
 
@@ -21,7 +21,7 @@
         self.draw = kernel.random_for("hub registry")
         self.exchanges: dict[str, tuple[SimulatedExchange, str]] = {}
         self.regions: dict[int, str] = {}
-        self.registry = StandinRegistry(kernel, address)
+        self.registry = SimulatedRegistry(kernel, address)
         self.registry.on_sent = self.record_sent
         self.address = self.registry.address
         self._last_change: dict[str, int] = {}
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -15,7 +15,7 @@
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.runtime.epoll import EpollKernel
 from peattrestle.runtime.virtual import Network, VirtualKernel
-from peattrestle.standin.registry import StandinRegistry
+from peattrestle.standin.registry import SimulatedRegistry
 
 MS = 1_000_000  # nanoseconds
 SECOND = 1_000_000_000
@@ -26,7 +26,7 @@
 
     def __init__(self, kernel: Kernel, quiet: int = 2 * SECOND) -> None:
         self.kernel = kernel
-        self.registry = StandinRegistry(kernel, "127.0.0.1:0")
+        self.registry = SimulatedRegistry(kernel, "127.0.0.1:0")
         self.list: dict[str, str] = {}
         self.updated_at: dict[str, int] = {}
         self.update_count = 0
