--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -338,7 +338,7 @@
             self.window = max(self.MIN_WINDOW, self.window * self.WINDOW_DECREASE)
             self.window_fixed_until = now + self.MIN_DECREASE_INTERVAL
             self.loop.log(
-                f"exchange {self.number}: pressed (late, full, no answer), window {self.window:.2f} set-ups"
+                f"exchange {self.number}: overloaded (late, full, silent), window {self.window:.2f} set-ups"
             )
 
     def admits(self, request: AdmissionRequest) -> bool:
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -724,7 +724,7 @@
     harness.advance(within_ms - 60)
     assert len(exchange.streams) == 2 + silent_count
     assert len(caller.statuses()) == 2 and caller.statuses().count(200) == 2 - silent_count
-    assert [text for _, text in harness.logs if "pressed" in text] == []
+    assert [text for _, text in harness.logs if "overloaded" in text] == []
     assert harness.caller(invite()).statuses() == [200]
 
 
