--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -29,7 +29,7 @@
 from peattrestle.agent.registry import Registry
 from peattrestle.agent.requester import Requester, RequesterTable
 from peattrestle.agent.storms import Storms
-from peattrestle.calls.core import ANSWERED, OPEN, REFUSED, Core, Final, Log, Unsent
+from peattrestle.calls.core import ANSWERED, OPEN, REFUSED, Core, FinalAnswer, Log, Unsent
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.h248 import package
@@ -193,7 +193,7 @@
                         self.counts.add("orphans_released")
                         self.release_call(call)
 
-    def to_outcome(self, call: Call, final: Final) -> Outcome:
+    def to_outcome(self, call: Call, final: FinalAnswer) -> Outcome:
         """The final answer as an H.248 outcome."""
         if final.kind == ANSWERED:
             return Outcome(0, str(call.id))
@@ -403,7 +403,7 @@
         if tell:
             route_try.link.release(route_try.context, route_try.termination, route_try.call.id)
 
-    def reply(self, call: Call, final: Final) -> None:
+    def reply(self, call: Call, final: FinalAnswer) -> None:
         """Counts the final answer and sends it to the requester."""
         if call.pending_timer is not None:
             call.pending_timer.cancel()
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Final:
+class FinalAnswer:
     """A final answer of kind ANSWERED, REFUSED or FAILED.
 
     `retry_after` is the retry-after advice in nanoseconds, 0 for none. `own_fault` is true when the agent
@@ -141,7 +141,7 @@
         """
         raise NotImplementedError
 
-    def reply(self, call: CallT, final: Final) -> None:
+    def reply(self, call: CallT, final: FinalAnswer) -> None:
         """Sends the final answer to the caller."""
         raise NotImplementedError
 
@@ -183,9 +183,9 @@
                 case api.SetUp():
                     self.set_up(action)
                 case api.Block(call_id, retry_after):
-                    self.answer_by_id(call_id, Final(REFUSED, retry_after))
+                    self.answer_by_id(call_id, FinalAnswer(REFUSED, retry_after))
                 case api.Abort(call_id):
-                    self.answer_by_id(call_id, Final(FAILED))
+                    self.answer_by_id(call_id, FinalAnswer(FAILED))
                 case api.SetTimer(at, token):
                     self.kernel.at(at, lambda token=token: self.post(api.TimerDue(token)))  # type: ignore[misc]
                 case api.Log(text):
@@ -251,7 +251,7 @@
         """Answers an open call as failed, cancels its pending try and notifies the controller."""
         self.cancel_pending_try(call, "timeout")
         self.post(api.CallerLeft(call.id))
-        self.answer(call, Final(FAILED, own_fault=own_fault))
+        self.answer(call, FinalAnswer(FAILED, own_fault=own_fault))
 
     def reference_of(self, call: CallT) -> str:
         """Returns the client's own identifier of the call, for the log."""
@@ -413,7 +413,7 @@
         self.post(api.TryAnswered(call.id, route_try.exchange, now - route_try.sent_at, route_try.number))
         if load:
             self.post(api.LoadReported(route_try.exchange, "served", now - route_try.sent_at, load))
-        self.answer(call, Final(ANSWERED))
+        self.answer(call, FinalAnswer(ANSWERED))
 
     def log_try(self, text: str, route_try: TryT, **fields: object) -> None:
         self.log(
@@ -426,7 +426,7 @@
             **fields,
         )
 
-    def log_answer(self, call: CallT, final: Final) -> None:
+    def log_answer(self, call: CallT, final: FinalAnswer) -> None:
         self.log(
             "debug",
             "final answer",
@@ -439,12 +439,12 @@
             come_back_ms=final.retry_after // 1_000_000,
         )
 
-    def answer_by_id(self, call_id: int, final: Final) -> None:
+    def answer_by_id(self, call_id: int, final: FinalAnswer) -> None:
         call = self.calls.get(call_id)
         if call is not None and call.state == OPEN:
             self.answer(call, final)
 
-    def answer(self, call: CallT, final: Final) -> None:
+    def answer(self, call: CallT, final: FinalAnswer) -> None:
         """Sends the final answer after the guard's check; removes the call unless it is established by it.
 
         When the guard refuses the answer, the front end decides in `on_answer_refused` whether the call ends.
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -19,7 +19,17 @@
 from dataclasses import dataclass, replace
 
 from peattrestle import interface as api
-from peattrestle.calls.core import ANSWERED, ESTABLISHED, FAILED, OPEN, Call, Core, Final, RouteTry, Unsent
+from peattrestle.calls.core import (
+    ANSWERED,
+    ESTABLISHED,
+    FAILED,
+    OPEN,
+    Call,
+    Core,
+    FinalAnswer,
+    RouteTry,
+    Unsent,
+)
 from peattrestle.calls.core import REFUSED as BLOCKED
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
@@ -463,7 +473,7 @@
             queue = self.undelivered_releases.setdefault(link.exchange, deque(maxlen=MAX_STORED_RELEASES))
             queue.append((tag, data))
 
-    def reply(self, call: SipCall, final: Final) -> None:
+    def reply(self, call: SipCall, final: FinalAnswer) -> None:
         self.counts.add(("transit_" if call.request.transit else "") + final.kind)
         caller = call.caller
         call.answered = True
@@ -486,7 +496,7 @@
         """Answers a call as failed after its abandon time, since a call without any answer would be lost."""
         if call.answered:
             return False
-        self.reply(call, Final(FAILED))
+        self.reply(call, FinalAnswer(FAILED))
         return True
 
     def on_call_removed(self, call: SipCall) -> None:
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -9,7 +9,7 @@
 
 from peattrestle import interface as api
 from peattrestle.agent.agent import CallAgent
-from peattrestle.calls.core import ANSWERED, Final
+from peattrestle.calls.core import ANSWERED, FinalAnswer
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.h248 import package
@@ -57,7 +57,7 @@
         if self.fault in ("leaving", "cold", "no release time"):
             self.controller = CarelessController(self)
 
-    def answer(self, call: Any, final: Final) -> None:
+    def answer(self, call: Any, final: FinalAnswer) -> None:
         if self.fault == "late" and final.kind == ANSWERED and call.id % 5 == 0:
             self.kernel.at(call.abandon_at + 200 * MS, lambda: super(FaultyAgent, self).answer(call, final))
             return
