--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -287,7 +287,7 @@
             request.repeat,
             request.customer,
             "" if transit else requester.name,
-            seen=call.seen,
+            attempt=call.seen,
         )
         if not transit and not self.storms.admit(
             requester.name, self.controller.relative_revenue(arrived, call.seen)
--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -596,7 +596,7 @@
         attempt = (
             None
             if arrival.transit
-            else arrival.seen
+            else arrival.attempt
             or self.retry_detector.classify(
                 self.loop.now, self.request_key(arrival), arrival.repeat, arrival.cut_before
             )
--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -50,7 +50,7 @@
     transit: another exchange sent it here to be sent on. cut_before: the caller was in a call that was cut.
     repeat: the gateway marks it as a further try. customer, gateway: who calls, '' where that is not known.
     over_share: its gateway is over its share, so the call is only refused with advice when to retry.
-    seen: first or further try, where the agent has already found that out; else the controller does.
+    attempt: first or further try, where the agent has already found that out; else the controller does.
     """
 
     call: int
@@ -66,7 +66,7 @@
     customer: str = ""
     gateway: str = ""
     over_share: bool = False
-    seen: CallerAttempt | None = None
+    attempt: CallerAttempt | None = None
 
 
 @dataclass(slots=True, frozen=True)
