--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -267,8 +267,8 @@
         )
         if not transit:
             retry_key = (requester.name, request.bearer_type, request.destination, request.number)
-            call.seen = self.retry_detector.classify(now, retry_key, request.repeat, request.cut_before)
-            self.storms.watch.count_call(now, call.seen, requester.name)
+            call.attempt = self.retry_detector.classify(now, retry_key, request.repeat, request.cut_before)
+            self.storms.watch.count_call(now, call.attempt, requester.name)
         requester.calls[request.termination] = call
         call.pending_timer = self.kernel.at(
             now + self.settings.limits.pending_after, lambda: self.send_pending(call)
@@ -287,10 +287,10 @@
             request.repeat,
             request.customer,
             "" if transit else requester.name,
-            attempt=call.seen,
+            attempt=call.attempt,
         )
         if not transit and not self.storms.admit(
-            requester.name, self.controller.relative_revenue(arrived, call.seen)
+            requester.name, self.controller.relative_revenue(arrived, call.attempt)
         ):
             call.over_share = True
             arrived = replace(arrived, over_share=True)
@@ -592,7 +592,7 @@
         """Ends a standing call that was cut by its exchange, and notifies the requester."""
         call = route_try.call
         self.counts.add("cut")
-        if call.seen is not None:
+        if call.attempt is not None:
             self.storms.watch.record_cut(self.kernel.now(), call.requester.name)
         self.end_try(route_try, tell=False)
         self.forget(call)
--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -41,4 +41,4 @@
     request: SetUpRequest
     pending_timer: Timer | None = None
     over_share: bool = False  # not admitted: its gateway is over its share
-    seen: CallerAttempt | None = None  # first try or retry; None in transit
+    attempt: CallerAttempt | None = None  # first try or retry; None in transit
