--- a/peattrestle/storms/storm_detection.py
+++ b/peattrestle/storms/storm_detection.py
@@ -93,22 +93,22 @@
         if len(self._last_cuts) > self.MAX_CUTS:
             self._last_cuts.popitem(last=False)
 
-    def count_call(self, now: int, seen: CallerAttempt, gateway: str = "") -> None:
+    def count_call(self, now: int, attempt: CallerAttempt, gateway: str = "") -> None:
         """Counts a call by its classification."""
-        if seen.kind == FIRST:
+        if attempt.kind == FIRST:
             self.first.add(now)
-        elif seen.kind == FURTHER:
+        elif attempt.kind == FURTHER:
             self.further.add(now)
             self._count_in_storm(RETRY)
-            if seen.due_at and seen.first_at >= 0:
-                advised = max(1, seen.due_at - seen.advised_at)
-                self.retry_times.add(now, (now - seen.advised_at) / advised)
+            if attempt.due_at and attempt.first_at >= 0:
+                advised = max(1, attempt.due_at - attempt.advised_at)
+                self.retry_times.add(now, (now - attempt.advised_at) / advised)
         else:
             self.returned.add(now)
             self._count_in_storm(RETURN)
             if gateway in self._last_cuts:
                 self.returns.add(now, (now - self._last_cuts[gateway]) / SECOND)
-        self.tries.add(now, seen.tries)
+        self.tries.add(now, attempt.tries)
 
     def count_connection(self, now: int, gateways: int, disconnected_for: int) -> None:
         """Counts a connection of a gateway.
