--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -268,7 +268,7 @@
         if not transit:
             retry_key = (requester.name, request.bearer_type, request.destination, request.number)
             call.attempt = self.retry_detector.classify(now, retry_key, request.repeat, request.cut_before)
-            self.storms.watch.count_call(now, call.attempt, requester.name)
+            self.storms.detector.count_call(now, call.attempt, requester.name)
         requester.calls[request.termination] = call
         call.pending_timer = self.kernel.at(
             now + self.settings.limits.pending_after, lambda: self.send_pending(call)
@@ -593,7 +593,7 @@
         call = route_try.call
         self.counts.add("cut")
         if call.attempt is not None:
-            self.storms.watch.record_cut(self.kernel.now(), call.requester.name)
+            self.storms.detector.record_cut(self.kernel.now(), call.requester.name)
         self.end_try(route_try, tell=False)
         self.forget(call)
         self.post(api.TryEnded(call.id, route_try.exchange, "reset", 0, route_try.number, True))
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -45,7 +45,7 @@
     ) -> None:
         self.kernel, self.limits, self.log, self.count = kernel, limits, log, count
         self.gateways = gateways
-        self.watch, self.admission = StormDetector(), GatewayAdmission()
+        self.detector, self.admission = StormDetector(), GatewayAdmission()
         # Sequence numbers start from the clock: notices of a new run must count as newer than the last one's.
         self.notices = Notices(kernel.now() // MS)
         self.restart_limiter = restarts.RestartPacer(
@@ -59,7 +59,7 @@
         while True:
             yield from self.kernel.sleep(CHECK_INTERVAL)
             now = self.kernel.now()
-            for storm in self.watch.update(now):
+            for storm in self.detector.update(now):
                 self.log_storm(storm)
             was_limiting = self.admission.is_limiting
             self.admission.update(now)
@@ -70,7 +70,7 @@
                     if self.admission.is_limiting
                     else "gateway limits lifted",
                     carried=round(self.admission.answered.rate(now), 1),
-                    offered=round(self.watch.offered(now), 1),
+                    offered=round(self.detector.offered(now), 1),
                     turned_away=self.admission.turned_away,
                 )
             self.send_notices(self.notices.due_notices(now, self.admission.limits_to_announce()))
@@ -119,7 +119,7 @@
     def on_gateway_connected(self, requester: Requester, gateway_count: int) -> None:
         """Records a reconnection. `gateway_count`: gateways known to the agent."""
         now = self.kernel.now()
-        self.watch.count_connection(
+        self.detector.count_connection(
             now, gateway_count, now - requester.disconnected_at if requester.disconnected_at else -1
         )
 
