--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -177,7 +177,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Unconfirmed:
+class UnconfirmedRelease:
     """A release written to `connection` at `sent_at` that the exchange has not confirmed."""
 
     connection: LinkConnection
@@ -199,7 +199,7 @@
         self.connect_failed = self.closing = self.retired = False
         self.tries: dict[str, LinkTry] = {}
         self.waiting: dict[str, bytes] = {}
-        self.unconfirmed: dict[str, Unconfirmed] = {}
+        self.unconfirmed: dict[str, UnconfirmedRelease] = {}
         self.last_received_at = kernel.now()
         self.connections = [LinkConnection(self, index) for index in range(CONNECTIONS_PER_LINK)]
 
@@ -290,7 +290,7 @@
             return False
         connection = max(connections, key=lambda connection: connection.last_received_at)
         connection.write(data)
-        self.unconfirmed[tag] = Unconfirmed(connection, data, self.kernel.now())
+        self.unconfirmed[tag] = UnconfirmedRelease(connection, data, self.kernel.now())
         return True
 
     def expire_unconfirmed(self, now: int) -> None:
