--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -126,7 +126,7 @@
     def on_gateway_disconnected(self, requester: Requester) -> None:
         """Frees the gateway's share and forgets its rate notice."""
         self.admission.remove_gateway(requester.name)
-        self.notices.gone(requester.name)
+        self.notices.remove_gateway(requester.name)
 
     def restart_after(self, requester: Requester) -> int:
         """0: the gateway may restart now; else nanoseconds after which it is to retry its ServiceChange."""
--- a/peattrestle/storms/notice.py
+++ b/peattrestle/storms/notice.py
@@ -65,7 +65,7 @@
                 due[gateway] = self._next_notice(0.0, 0)
         return due
 
-    def gone(self, gateway: str) -> None:
+    def remove_gateway(self, gateway: str) -> None:
         """Forgets the notices of a gateway whose connection has ended; they ended with it."""
         self.sent.pop(gateway, None)
 
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -275,5 +275,5 @@
     lifted = notices.due_notices(1600 * MS, {})["a"]
     assert lifted.lifetime == 0 and notices.due_notices(1700 * MS, {}) == {}
     notices.due_notices(2000 * MS, {"a": 5.0})
-    notices.gone("a")
+    notices.remove_gateway("a")
     assert notices.due_notices(2100 * MS, {}) == {}
