--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -244,22 +244,27 @@
 
 
 def test_restarts_are_admitted_at_the_rate_and_a_slot_is_kept() -> None:
-    gate = RestartPacer(rate=10, burst=2, max_slots=100)
-    waits = [gate.wait_for(0, f"g{number}") for number in range(50)]
+    pacer = RestartPacer(rate=10, burst=2, max_slots=100)
+    waits = [pacer.wait_for(0, f"g{number}") for number in range(50)]
     assert waits[:2] == [0, 0] and waits[2:5] == [100 * MS, 200 * MS, 300 * MS]
-    assert gate.wait_for(50 * MS, "g2") == 50 * MS  # early: the rest of its wait, and no new slot
-    assert gate.wait_for(100 * MS, "g2") == 0
-    admitted = sum(gate.wait_for(100 * MS * (number - 1), f"g{number}") == 0 for number in range(3, 50))
+    assert pacer.wait_for(50 * MS, "g2") == 50 * MS  # early: the rest of its wait, and no new slot
+    assert pacer.wait_for(100 * MS, "g2") == 0
+    admitted = sum(pacer.wait_for(100 * MS * (number - 1), f"g{number}") == 0 for number in range(3, 50))
     assert admitted == 47
-    assert [gate.wait_for(SECOND * at, "x") for at in range(20, 24)] == [0, 0, 0, 0]  # no wait at quiet times
+    assert [pacer.wait_for(SECOND * at, "x") for at in range(20, 24)] == [
+        0,
+        0,
+        0,
+        0,
+    ]  # no wait at quiet times
 
 
 def test_slots_and_waits_of_restarts_are_bounded() -> None:
-    gate = RestartPacer(rate=10, burst=1, max_slots=20)
+    pacer = RestartPacer(rate=10, burst=1, max_slots=20)
     for number in range(1000):
-        gate.wait_for(0, f"g{number}")
-    assert len(gate.slots) <= 20
-    assert gate.wait_for(0, "one more") <= 20 * 100 * MS  # no longer than all slots take
+        pacer.wait_for(0, f"g{number}")
+    assert len(pacer.slots) <= 20
+    assert pacer.wait_for(0, "one more") <= 20 * 100 * MS  # no longer than all slots take
     assert waiting_delay(100, 50) == 2 * SECOND
 
 
