--- a/peattrestle/feed/state.py
+++ b/peattrestle/feed/state.py
@@ -65,9 +65,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """The update in one event: the full list of members if `whole`, else only the changed members."""
+    """The update in one event: the full list of members if `is_full`, else only the changed members."""
 
-    whole: bool
+    is_full: bool
     members: tuple[Member, ...]
 
 
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -212,7 +212,7 @@
         """Applies a change of the exchange list to links, calls, guard and controller."""
         now, wall_ms = self.kernel.now(), self.kernel.wall_time() // MS
         rows = list(change.members)
-        if change.whole:
+        if change.is_full:
             present = {member.exchange for member in rows}
             for name, old in self.members.items():
                 if name not in present:
@@ -245,7 +245,7 @@
                 self.on_exchange_restarted(member.exchange, started_at)
             if member.number != self.own_number and (previous is None or previous.address != member.address):
                 self.update_link(member)
-        self.post(api.ListUpdated("full" if change.whole else "delta", tuple(entries)))
+        self.post(api.ListUpdated("full" if change.is_full else "delta", tuple(entries)))
 
     def update_link(self, member: Member) -> None:
         """Creates or redirects the link of an exchange that is new, back, or at a new address.
--- a/tests/feed/test_feed.py
+++ b/tests/feed/test_feed.py
@@ -63,7 +63,7 @@
     tree = {"n": 2, "events": [event(1, host("a", born_ms=5), whole=True), event(2, host("a", "DRAINING"))]}
     first, second = state.apply_known(tree)
     assert first == Change(True, (Member("a", 2, "ready", "127.0.0.9:1", "east", 5),))
-    assert (second.whole, second.members[0].state, state.last) == (False, "draining", 2)
+    assert (second.is_full, second.members[0].state, state.last) == (False, "draining", 2)
     assert state.apply_known(tree) == []
     assert (
         state.apply_known({"n": 4, "events": [event(4, host("b", "DELETED"))]})[0].members[0].state == "gone"
