--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -545,15 +545,15 @@
         for tag in list(link.waiting):
             self.fail_try(link.tries[tag], "connect_failed", tell=False, cut_off=False)
 
-    def on_link_refused(self, link: Link, gone: bool) -> None:
+    def on_link_refused(self, link: Link, nothing_listens: bool) -> None:
         """Handles a failed connection attempt.
 
-        `gone`: nothing listens at the address, so the process and its established calls are gone, unless it
-        still sends on the link's other connection.
+        `nothing_listens`: nothing listens at the address, so the process and its established calls are gone,
+        unless it still sends on the link's other connection.
         """
-        self.log("debug", "connection refused", exchange=link.exchange, nothing_listens=gone)
+        self.log("debug", "connection refused", exchange=link.exchange, nothing_listens=nothing_listens)
         self.fail_waiting_tries(link)
-        if gone and not link.is_up:
+        if nothing_listens and not link.is_up:
             self.end_calls_at(link.exchange)
 
     def on_line(self, link: Link, connection: LinkConnection, line: lines.Line) -> None:
