--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -609,7 +609,7 @@
         if exchange is not None and group.to != self.settings.number:
             self.post(api.LoadReported(exchange, "served", 0, {"free": group.free, "size": group.size}))
             circuits = sum(other_group.size for other_group in self.groups.values())
-            self.guard.carried = circuits / self._max_holding_time
+            self.guard.warm_capacity = circuits / self._max_holding_time
 
     # Gateways.
 
--- a/peattrestle/calls/guard.py
+++ b/peattrestle/calls/guard.py
@@ -52,9 +52,9 @@
     """Keeps the state of calls and exchanges, and refuses what would break a rule.
 
     Rule 4 concerns the load of all agents together, but an agent sees only its own set-ups. The guard
-    therefore refuses only what would overload a warm exchange if it came from this agent alone. `carried` is
-    the rate in set-ups per nanosecond of a warm exchange of the size of the agent's own one. `refusals`
-    counts the refusals by rule text.
+    therefore refuses only what would overload a warm exchange if it came from this agent alone.
+    `warm_capacity` is the rate in set-ups per nanosecond of a warm exchange of the size of the agent's own
+    one. `refusals` counts the refusals by rule text.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
     ) -> None:
         self.drain_grace, self.release_time = drain_grace, release_time
         self.fall_time, self.fall_multiple, self.cold_time = fall_time, fall_multiple, cold_time
-        self.carried = 0.0  # set-ups per nanosecond; 0: unknown, rule 4 is not checked
+        self.warm_capacity = 0.0  # set-ups per nanosecond; 0: unknown, rule 4 is not checked
         self.calls: dict[int, CallRecord] = {}
         self.exchanges: dict[str, ExchangeRecord] = {}
         self.refusals: dict[str, int] = {}
@@ -102,12 +102,12 @@
             return self._refuse("rule 3: a set-up to an exchange that is draining, gone or not listed")
         if now < record.earliest_retry_at:
             return self._refuse("rule 5: a send within the release time")
-        if now < exchange_record.cold_until and self.carried:
+        if now < exchange_record.cold_until and self.warm_capacity:
             exchange_record.sent_times = [
                 sent_at for sent_at in exchange_record.sent_times if sent_at > now - self.fall_time
             ]
             if len(exchange_record.sent_times) + 1 > max(
-                4.0, self.fall_multiple * self.carried * self.fall_time
+                4.0, self.fall_multiple * self.warm_capacity * self.fall_time
             ):
                 return self._refuse("rule 4: more set-ups to a cold exchange than a warm one can carry")
             exchange_record.sent_times.append(now)
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -569,7 +569,7 @@
             size = load.get("size", self.group_sizes.get(link.exchange, 0.0))
             if size != self.group_sizes.get(link.exchange) and link.exchange in self.members:
                 self.group_sizes[link.exchange] = size
-                self.guard.carried = sum(self.group_sizes.values()) / self.holding_time
+                self.guard.warm_capacity = sum(self.group_sizes.values()) / self.holding_time
         if verb == "STARTED":
             if route_try is None:
                 self.counts.add("stray_answers")
--- a/tests/agent/test_guard.py
+++ b/tests/agent/test_guard.py
@@ -71,7 +71,7 @@
 
 def test_one_agent_alone_does_not_overload_a_cold_exchange() -> None:
     guard = make_guard()
-    guard.carried = 5 / (1000 * MS)  # five set-ups a second; the limit is twice that
+    guard.warm_capacity = 5 / (1000 * MS)  # five set-ups a second; the limit is twice that
     guard.on_exchange_state(0, "x1", "ready", 1 * MS)
     violations = []
     for call in range(2, 20):
