--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -34,7 +34,7 @@
 from peattrestle.control import Controller
 from peattrestle.h248 import package
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
-from peattrestle.h248.session import BadPeer, MalformedMessage, Session, SessionEvent
+from peattrestle.h248.session import MalformedMessage, ProtocolViolation, Session, SessionEvent
 from peattrestle.h248.text import Action, Command, Reply, Request
 from peattrestle.h248.transactions import (
     Answered,
@@ -621,7 +621,7 @@
             nonlocal requester
             requester = self.requesters.get(mid)
             if requester is None:
-                raise BadPeer(f"limit of {limits.gateways} gateways reached")
+                raise ProtocolViolation(f"limit of {limits.gateways} gateways reached")
             if requester.stream is not None:
                 requester.stream.close()  # replaced by the new connection
             requester.session, requester.stream = session, stream
@@ -644,7 +644,7 @@
                     break
         except Lost as error:
             reason = str(error)
-        except (BadPeer, TooManyOpenRequests) as error:
+        except (ProtocolViolation, TooManyOpenRequests) as error:
             reason = f"bad peer: {error}"
             self.counts.add("bad_peers")
         finally:
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -13,7 +13,7 @@
 
 from peattrestle.agent.calls import RouteTry
 from peattrestle.h248 import package
-from peattrestle.h248.session import BadPeer, Session, SessionEvent
+from peattrestle.h248.session import ProtocolViolation, Session, SessionEvent
 from peattrestle.h248.transactions import TooManyOpenRequests, Transactions
 from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
 from peattrestle.settings.agent import Agent as Settings
@@ -143,7 +143,7 @@
                     return f"exchange left {stream.unsent} bytes unread"
         except Lost as error:
             return str(error)
-        except BadPeer as error:
+        except ProtocolViolation as error:
             return f"bad peer: {error}"
         finally:
             keepalive_task.cancel()
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -2,7 +2,7 @@
 
 Malformed messages are answered with an error, and repeated requests with the kept reply, without the caller.
 Invalid frames, a peer that changes its message identifier, or too many malformed messages in a row raise
-`BadPeer`: the caller is to close the connection.
+`ProtocolViolation`: the caller is to close the connection.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 MAX_MALFORMED_IN_A_ROW = 20
 
 
-class BadPeer(Exception):
+class ProtocolViolation(Exception):
     """The peer violates the protocol: the connection is to be closed."""
 
 
@@ -62,11 +62,14 @@
         self._header = f"MEGACO/{text.VERSION} {mid}\n".encode()
 
     def feed(self, now: int, data: bytes) -> list[SessionEvent]:
-        """The events of the messages that `data` completes; `now` in nanoseconds. Raises BadPeer."""
+        """The events of the messages that `data` completes; `now` in nanoseconds.
+
+        Raises ProtocolViolation.
+        """
         try:
             messages = self._framer.feed(data)
         except tpkt.BadFrame as error:
-            raise BadPeer(str(error)) from None
+            raise ProtocolViolation(str(error)) from None
         events: list[SessionEvent] = []
         for message in messages:
             self.messages_in += 1
@@ -90,16 +93,16 @@
     def peek(self, data: bytes) -> list[text.Message]:
         """The messages that `data` completes, without handling them, once the session has ended.
 
-        Raises BadPeer and Malformed.
+        Raises ProtocolViolation and Malformed.
         """
         try:
             return [text.parse(message, self.max_message_bytes) for message in self._framer.feed(data)]
         except tpkt.BadFrame as error:
-            raise BadPeer(str(error)) from None
+            raise ProtocolViolation(str(error)) from None
 
     def _set_peer(self, mid: str) -> None:
         if self.peer:
-            raise BadPeer(f"the message identifier changed from {self.peer} to {mid}")
+            raise ProtocolViolation(f"the message identifier changed from {self.peer} to {mid}")
         self.peer = mid
         if self._bind is not None:
             self.transactions = self._bind(mid) or self.transactions
@@ -107,7 +110,7 @@
     def _answer_malformed(self, error: text.Malformed) -> None:
         self.malformed_in_a_row += 1
         if self.malformed_in_a_row > MAX_MALFORMED_IN_A_ROW:
-            raise BadPeer(f"{self.malformed_in_a_row} malformed messages in a row")
+            raise ProtocolViolation(f"{self.malformed_in_a_row} malformed messages in a row")
         error_descriptor = text.error_text((error.code, str(error).replace('"', "'")))
         # In a Reply where the transaction id is known, so that the peer need not wait for a timeout; else for
         # the whole message.
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -13,7 +13,7 @@
 
 from peattrestle.h248 import package
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
-from peattrestle.h248.session import BadPeer, Session
+from peattrestle.h248.session import ProtocolViolation, Session
 from peattrestle.h248.text import Action, Command, Malformed, Request
 from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
 from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
@@ -80,7 +80,7 @@
         try:
             for received_at, data in delayed:
                 self.handle_data(received_at, data)
-        except BadPeer:
+        except ProtocolViolation:
             self.stream.abort()
 
     def record_unhandled_input(self) -> None:
@@ -92,14 +92,17 @@
         for received_at, data in delayed:
             try:
                 parts = [part for message in self.session.peek(data) for part in message.parts]
-            except (BadPeer, Malformed):
+            except (ProtocolViolation, Malformed):
                 return
             for part in parts:
                 if isinstance(part, Request) and self.peer is not None:
                     self.exchange.record_unhandled(self.peer, received_at, part.actions[0].commands[0])
 
     def handle_data(self, received_at: int, data: bytes) -> None:
-        """Handles data that arrived at `received_at`; raises BadPeer where the session cannot continue."""
+        """Handles data that arrived at `received_at`.
+
+        Raises ProtocolViolation where the session cannot continue.
+        """
         exchange = self.exchange
         exchange.received_at, exchange.time_uncertain = received_at, received_at < self.uncertain_until
         for event in self.session.feed(exchange.kernel.now(), data):
@@ -185,7 +188,7 @@
                     self.handle_data(exchange.kernel.now(), data)
                 if self.stream.unsent > 1 << 24:
                     raise Lost("an agent that does not read")
-        except (Lost, BadPeer) as error:
+        except (Lost, ProtocolViolation) as error:
             reason = str(error)
         finally:
             self.stream.close()
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -6,7 +6,7 @@
 
 from peattrestle.h248 import package, text
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
-from peattrestle.h248.session import BadPeer, MalformedMessage, Session
+from peattrestle.h248.session import MalformedMessage, ProtocolViolation, Session
 from peattrestle.h248.tpkt import BadFrame, Framer, frame
 from peattrestle.h248.transactions import (
     LONG_TIMER,
@@ -128,14 +128,14 @@
 
 def test_too_many_malformed_messages_in_a_row_end_the_session() -> None:
     session, _ = make_session()
-    with pytest.raises(BadPeer):
+    with pytest.raises(ProtocolViolation):
         session.feed(0, message("Dance") * 30)
 
 
 def test_a_peer_must_not_change_its_message_identifier() -> None:
     session, _ = make_session()
     session.feed(0, message("Pending=1{}"))
-    with pytest.raises(BadPeer):
+    with pytest.raises(ProtocolViolation):
         session.feed(0, message("Pending=1{}", "<g2>"))
 
 
