--- a/benchmarks/agent_load.py
+++ b/benchmarks/agent_load.py
@@ -151,8 +151,8 @@
         """Records the delay of each answered call and schedules its release."""
         while data := (yield from stream.read()):
             for event in session.feed(self.kernel.now(), data):
-                if isinstance(event, Answered) and isinstance(event.kept, tuple):
-                    termination, at = event.kept
+                if isinstance(event, Answered) and isinstance(event.attachment, tuple):
+                    termination, at = event.attachment
                     if package.read_outcome(event.reply).code == 0:
                         self.established += 1
                         self.delays.record_value(max(1, (self.kernel.now() - at) // 1000))
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -36,7 +36,7 @@
             for message in session.feed(kernel.now(), data):
                 if isinstance(message, MalformedMessage):
                     answer["text"] = str(message.fault)
-                elif isinstance(message, Answered) and message.kept == "add":
+                elif isinstance(message, Answered) and message.attachment == "add":
                     outcome = package.read_outcome(message.reply)
                     answer_texts = {0: "stands", package.REFUSED: "refused", package.FAILED: "failed"}
                     answer.update(
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -54,17 +54,17 @@
 
 @dataclass(slots=True)
 class Answered:
-    """The peer's reply to a request of ours; `kept` is what was given to `begin`."""
+    """The peer's reply to a request of ours; `attachment` is what was given to `begin`."""
 
-    kept: Any
+    attachment: Any
     reply: Reply
 
 
 @dataclass(slots=True)
 class StillPending:
-    """The peer sent Pending for a request of ours; `kept` is what was given to `begin`."""
+    """The peer sent Pending for a request of ours; `attachment` is what was given to `begin`."""
 
-    kept: Any
+    attachment: Any
 
 
 @dataclass(slots=True)
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -399,7 +399,7 @@
 
     def handle_reply(self, event: Answered) -> None:
         """Handles a reply from the agent."""
-        now, pending = self.kernel.now(), event.kept
+        now, pending = self.kernel.now(), event.attachment
         if pending == "hello":
             first_command = package.first_command(event.reply.actions)
             services = first_command[1].find("Services") if first_command else None
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -108,10 +108,12 @@
         for event in self.session.feed(exchange.kernel.now(), data):
             if isinstance(event, NewRequest) and self.peer is not None:
                 exchange.handle_request(self, self.peer, event.request)
-            elif isinstance(event, Answered) and isinstance(event.kept, ExchangeCall):
-                exchange.handle_onward_reply(event.kept, package.read_outcome(event.reply))
-            elif isinstance(event, Answered) and isinstance(event.kept, str) and self.peer is not None:
-                exchange.handle_release_reply(self.peer, event.kept, package.reply_error_code(event.reply))
+            elif isinstance(event, Answered) and isinstance(event.attachment, ExchangeCall):
+                exchange.handle_onward_reply(event.attachment, package.read_outcome(event.reply))
+            elif isinstance(event, Answered) and isinstance(event.attachment, str) and self.peer is not None:
+                exchange.handle_release_reply(
+                    self.peer, event.attachment, package.reply_error_code(event.reply)
+                )
             elif isinstance(event, UnknownTransaction) and self.peer is not None:
                 exchange.handle_stray_reply(self.peer, event.id)
 
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -67,9 +67,9 @@
     def answers(self) -> dict[int, tuple[int, int]]:
         outcomes = {}
         for event in self.events:
-            if isinstance(event, Answered) and isinstance(event.kept, int):
+            if isinstance(event, Answered) and isinstance(event.attachment, int):
                 outcome = package.read_outcome(event.reply)
-                outcomes[event.kept] = (outcome.code, outcome.retry_after)
+                outcomes[event.attachment] = (outcome.code, outcome.retry_after)
         return outcomes
 
 
@@ -165,7 +165,7 @@
         yield from harness.kernel.sleep(3 * SECOND)
 
     harness.run(body())
-    kinds = [type(event).__name__ for event in harness.events if getattr(event, "kept", None) == 1]
+    kinds = [type(event).__name__ for event in harness.events if getattr(event, "attachment", None) == 1]
     assert kinds == [StillPending.__name__, Answered.__name__]
     assert harness.answers()[1][0] == 510  # the try timed out; a set-up that is safe to repeat is refused
 
@@ -228,7 +228,7 @@
         yield from harness.kernel.sleep(3 * SECOND)
 
     harness.run(body())
-    answers = [event for event in harness.events if isinstance(event, Answered) and event.kept == 1]
+    answers = [event for event in harness.events if isinstance(event, Answered) and event.attachment == 1]
     expected = {"gateway": {"asked": 0, "out": 0}}.get(side, {}).get(state, 1)
     assert len(answers) == expected
     assert harness.agent.calls == {} and harness.agent.terminations == {}
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -37,7 +37,7 @@
         session, stream = yield from harness.gateway(name)
         while data := (yield from stream.read()):
             for message in session.feed(harness.kernel.now(), data):
-                if not isinstance(message, Answered) or message.kept != "hello":
+                if not isinstance(message, Answered) or message.attachment != "hello":
                     continue
                 reply_items = services(message)
                 if "ptl/wai" in reply_items:
@@ -81,7 +81,7 @@
                     session.reply(
                         message.request.id, package.command_reply(message.request.id, "-", "Notify", "ROOT")
                     )
-                elif isinstance(message, Answered) and isinstance(message.kept, int):
+                elif isinstance(message, Answered) and isinstance(message.attachment, int):
                     outcome = package.read_outcome(message.reply)
                     codes.append((outcome.code, outcome.retry_after))
 
