--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -115,7 +115,7 @@
         # In a Reply where the transaction id is known, so that the peer need not wait for a timeout; else for
         # the whole message.
         transaction_id = error.transaction
-        if transaction_id is not None and transaction_id not in self.transactions.served:
+        if transaction_id is not None and transaction_id not in self.transactions.received_requests:
             self.send(f"Reply={transaction_id}{{{error_descriptor}}}")
         elif transaction_id is None:
             self.send(error_descriptor)
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -80,8 +80,8 @@
 class Transactions:
     """The requests to and from one peer.
 
-    `open` has what was attached to each open request of ours, by id; `served` the peer's requests of the last
-    long timer, by id. `evicted_early` counts replies evicted before the long timer had passed.
+    `open` has what was attached to each open request of ours, by id; `received_requests` the peer's requests
+    of the last long timer, by id. `evicted_early` counts replies evicted before the long timer had passed.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self._next_id = first_id % MAX_ID or 1
         self.max_open_requests, self.max_kept_replies = max_open_requests, max_kept_replies
         self.open: dict[int, Any] = {}
-        self.served: OrderedDict[int, ServedRequest] = OrderedDict()
+        self.received_requests: OrderedDict[int, ServedRequest] = OrderedDict()
         self.evicted_early = 0
         self._acks: list[int] = []
 
@@ -148,27 +148,31 @@
         if isinstance(part, Pending):
             return StillPending(self.open[part.id]) if part.id in self.open else UnknownTransaction(part.id)
         for low, high in part.ranges:
-            if high - low < len(self.served):
+            if high - low < len(self.received_requests):
                 transaction_ids = [
-                    transaction_id for transaction_id in range(low, high + 1) if transaction_id in self.served
+                    transaction_id
+                    for transaction_id in range(low, high + 1)
+                    if transaction_id in self.received_requests
                 ]
             else:
                 transaction_ids = [
-                    transaction_id for transaction_id in self.served if low <= transaction_id <= high
+                    transaction_id
+                    for transaction_id in self.received_requests
+                    if low <= transaction_id <= high
                 ]
             for transaction_id in transaction_ids:
-                if self.served[transaction_id].reply is not None:
-                    self.served[transaction_id].reply = ""  # only the id is still needed
+                if self.received_requests[transaction_id].reply is not None:
+                    self.received_requests[transaction_id].reply = ""  # only the id is still needed
         return None
 
     def _receive_request(self, now: int, request: Request) -> ReceiveResult:
         self.expire(now)
-        served = self.served.get(request.id)
+        served = self.received_requests.get(request.id)
         if served is None:
-            if len(self.served) >= self.max_kept_replies:
-                self.served.popitem(last=False)
+            if len(self.received_requests) >= self.max_kept_replies:
+                self.received_requests.popitem(last=False)
                 self.evicted_early += 1
-            self.served[request.id] = ServedRequest(now)
+            self.received_requests[request.id] = ServedRequest(now)
             return NewRequest(request)
         if served.reply is None:
             return Duplicate(f"Pending={request.id}{{}}")
@@ -176,7 +180,7 @@
 
     def answer(self, transaction_id: int, reply: str) -> None:
         """Keeps the reply that the caller sends. Raises KeyError where the request has a reply already."""
-        served = self.served.get(transaction_id)
+        served = self.received_requests.get(transaction_id)
         if served is None:
             return  # the long timer has passed: the reply need not be kept
         if served.reply is not None:
@@ -185,23 +189,23 @@
 
     def is_unanswered(self, transaction_id: int) -> bool:
         """Whether the peer's request has no reply yet."""
-        served = self.served.get(transaction_id)
+        served = self.received_requests.get(transaction_id)
         return served is not None and served.reply is None
 
     def expire(self, now: int) -> None:
         """Forgets requests older than the long timer, except those still being carried out."""
         cutoff = now - LONG_TIMER
-        while self.served:
-            transaction_id, served = next(iter(self.served.items()))
+        while self.received_requests:
+            transaction_id, served = next(iter(self.received_requests.items()))
             if served.received_at > cutoff:
                 return
             if served.reply is None:
                 # Still being carried out: kept as if new, since a repeat must not start it again.
-                self.served.move_to_end(transaction_id)
+                self.received_requests.move_to_end(transaction_id)
                 served.received_at = now
             else:
-                del self.served[transaction_id]
+                del self.received_requests[transaction_id]
 
     def peer_restarted(self) -> None:
         """Forgets the peer's requests after its restart, since it may use their ids again."""
-        self.served.clear()
+        self.received_requests.clear()
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -367,7 +367,7 @@
             for call in list(peer.calls.values()):
                 self.end_call(peer, call)
             if peer.run_id:
-                peer.transactions.served.clear()
+                peer.transactions.received_requests.clear()
             peer.run_id = run_id
 
     def handle_add(
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -90,7 +90,7 @@
         peer.begin(None)
     for transaction_id in range(1, 6):
         peer.receive(0, text.Request(transaction_id, REQUEST.actions))
-    assert list(peer.served) == [3, 4, 5] and peer.evicted_early == 2
+    assert list(peer.received_requests) == [3, 4, 5] and peer.evicted_early == 2
 
 
 def test_acknowledgements_are_batched() -> None:
