--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -723,7 +723,7 @@
             requester.reply(
                 transaction_id,
                 package.command_reply(
-                    transaction_id, "-", "ServiceChange", command.termination, inside=descriptors
+                    transaction_id, "-", "ServiceChange", command.termination, descriptors=descriptors
                 ),
             )
             return
@@ -740,7 +740,7 @@
                 "-",
                 "ServiceChange",
                 command.termination,
-                inside=f"Services{{Profile={package.PROFILE},ptc/run={self.run_id},"
+                descriptors=f"Services{{Profile={package.PROFILE},ptc/run={self.run_id},"
                 f"ptl/mwd={self.storms.waiting_delay(len(self.requesters.known))}}}",
             ),
         )
--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -239,12 +239,12 @@
     name: str,
     termination: str,
     error: tuple[int, str] | None = None,
-    inside: str = "",
+    descriptors: str = "",
 ) -> str:
-    """A reply with one command; `inside` has its descriptors as text, `error` a code and a text instead."""
+    """A reply with one command; `descriptors` has them as text, `error` a code and a text instead."""
     if error is not None:
-        inside = f'Error={error[0]}{{"{error[1]}"}}'
-    braces = "{" + inside + "}" if inside else ""
+        descriptors = f'Error={error[0]}{{"{error[1]}"}}'
+    braces = "{" + descriptors + "}" if descriptors else ""
     return f"Reply={transaction_id}{{Context={context}{{{name}={quoted(termination)}{braces}}}}}"
 
 
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -323,7 +323,7 @@
             self.reply(
                 peer,
                 request.id,
-                package.command_reply(request.id, "-", "ServiceChange", "ROOT", inside=services),
+                package.command_reply(request.id, "-", "ServiceChange", "ROOT", descriptors=services),
             )
             if age:
                 now = self.kernel.now()
@@ -514,7 +514,7 @@
                 str(call.context),
                 "Subtract",
                 command.termination,
-                inside=f"Statistics{{{statistics}}}",
+                descriptors=f"Statistics{{{statistics}}}",
             ),
         )
 
