--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -72,7 +72,7 @@
 def without_gate() -> None:
     """Gateways may register and restart at any rate."""
     agent_storms.Storms.restart_after = lambda self, requester: 0  # type: ignore[method-assign]
-    agent_storms.Storms.waiting_delay = lambda self, known: 0  # type: ignore[method-assign]
+    agent_storms.Storms.waiting_delay = lambda self, gateway_count: 0  # type: ignore[method-assign]
 
 
 def without_slow_start() -> None:
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -135,9 +135,10 @@
             self.count("restarts_held_back")
         return wait
 
-    def waiting_delay(self, known: int) -> int:
+    def waiting_delay(self, gateway_count: int) -> int:
         """Maximum waiting delay of H.248.1's restart avalanche procedure, in nanoseconds.
 
-        `known`: gateways known to the agent. Each draws the wait before its next restart from zero to this.
+        `gateway_count`: gateways known to the agent. Each draws the wait before its next restart from zero
+        to this.
         """
-        return restarts.waiting_delay(known, self.limits.restarts)
+        return restarts.waiting_delay(gateway_count, self.limits.restarts)
