--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -34,9 +34,10 @@
     `on_update(is_full, update)` receives the changes of the list in order; the first complete list is full.
     `count(name)` increments a counter. `label` names the agent to the registry.
 
-    `dial`: connect timeout. `answer`: timeout of a read. `quiet`: idle timeout of a watch; it is resumed on a
-    new connection without losing a change, since a half-open connection is detected in no other way. `least`
-    and `most`: first and longest wait of the backoff after a failure.
+    `dial`: connect timeout. `answer`: timeout of a read.
+    `quiet`: idle timeout of a watch; it is resumed on a new connection without losing a change, since a
+    half-open connection is detected in no other way.
+    `min_retry_wait` and `most`: first and longest wait of the backoff after a failure.
     """
 
     def __init__(
@@ -51,13 +52,13 @@
         dial: int,
         answer: int,
         quiet: int,
-        least: int,
+        min_retry_wait: int,
         most: int,
     ) -> None:
         self.kernel, self.on_update, self.log, self.count, self.label = kernel, on_update, log, count, label
         self.dial_timeout, self.answer_timeout, self.idle_timeout = dial, answer, quiet
         self.prefix = prefix.encode()
-        self.follower, self.roll = Follower(least, most), Roll(self.prefix)
+        self.follower, self.roll = Follower(min_retry_wait, most), Roll(self.prefix)
         self.rng = kernel.random_for("registry")
         self.endpoints = list(endpoints)
         self.rng.shuffle(self.endpoints)
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -43,7 +43,7 @@
             dial=500 * MS,
             answer=SECOND,
             quiet=quiet,
-            least=50 * MS,
+            min_retry_wait=50 * MS,
             most=400 * MS,
         )
         kernel.spawn(self.source.run(), "source")
