--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -37,7 +37,7 @@
     `dial`: connect timeout. `answer`: timeout of a read.
     `quiet`: idle timeout of a watch; it is resumed on a new connection without losing a change, since a
     half-open connection is detected in no other way.
-    `min_retry_wait` and `most`: first and longest wait of the backoff after a failure.
+    `min_retry_wait` and `max_retry_wait`: first and longest wait of the backoff after a failure.
     """
 
     def __init__(
@@ -53,12 +53,12 @@
         answer: int,
         quiet: int,
         min_retry_wait: int,
-        most: int,
+        max_retry_wait: int,
     ) -> None:
         self.kernel, self.on_update, self.log, self.count, self.label = kernel, on_update, log, count, label
         self.dial_timeout, self.answer_timeout, self.idle_timeout = dial, answer, quiet
         self.prefix = prefix.encode()
-        self.follower, self.roll = Follower(min_retry_wait, most), Roll(self.prefix)
+        self.follower, self.roll = Follower(min_retry_wait, max_retry_wait), Roll(self.prefix)
         self.rng = kernel.random_for("registry")
         self.endpoints = list(endpoints)
         self.rng.shuffle(self.endpoints)
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -44,7 +44,7 @@
             answer=SECOND,
             quiet=quiet,
             min_retry_wait=50 * MS,
-            most=400 * MS,
+            max_retry_wait=400 * MS,
         )
         kernel.spawn(self.source.run(), "source")
 
