--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -40,7 +40,7 @@
             lambda level, text, **fields: self.logs.append((text, fields)),
             lambda name: self.counts.update({name: self.counts.get(name, 0) + 1}),
             "a1",
-            dial=500 * MS,
+            dial_timeout=500 * MS,
             answer=SECOND,
             quiet=quiet,
             min_retry_wait=50 * MS,
