--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -34,7 +34,7 @@
     `on_update(is_full, update)` receives the changes of the list in order; the first complete list is full.
     `count(name)` increments a counter. `label` names the agent to the registry.
 
-    `dial_timeout`: connect timeout. `answer`: timeout of a read.
+    `dial_timeout`: connect timeout. `answer_timeout`: timeout of a read.
     `quiet`: idle timeout of a watch; it is resumed on a new connection without losing a change, since a
     half-open connection is detected in no other way.
     `min_retry_wait` and `max_retry_wait`: first and longest wait of the backoff after a failure.
@@ -50,13 +50,13 @@
         count: Callable[[str], None],
         label: str,
         dial_timeout: int,
-        answer: int,
+        answer_timeout: int,
         quiet: int,
         min_retry_wait: int,
         max_retry_wait: int,
     ) -> None:
         self.kernel, self.on_update, self.log, self.count, self.label = kernel, on_update, log, count, label
-        self.dial_timeout, self.answer_timeout, self.idle_timeout = dial_timeout, answer, quiet
+        self.dial_timeout, self.answer_timeout, self.idle_timeout = dial_timeout, answer_timeout, quiet
         self.prefix = prefix.encode()
         self.follower, self.roll = Follower(min_retry_wait, max_retry_wait), Roll(self.prefix)
         self.rng = kernel.random_for("registry")
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -41,7 +41,7 @@
             lambda name: self.counts.update({name: self.counts.get(name, 0) + 1}),
             "a1",
             dial_timeout=500 * MS,
-            answer=SECOND,
+            answer_timeout=SECOND,
             quiet=quiet,
             min_retry_wait=50 * MS,
             max_retry_wait=400 * MS,
