--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -34,10 +34,10 @@
     `on_update(is_full, update)` receives the changes of the list in order; the first complete list is full.
     `count(name)` increments a counter. `label` names the agent to the registry.
 
-    `dial_timeout`: connect timeout. `answer_timeout`: timeout of a read.
-    `quiet`: idle timeout of a watch; it is resumed on a new connection without losing a change, since a
-    half-open connection is detected in no other way.
-    `min_retry_wait` and `max_retry_wait`: first and longest wait of the backoff after a failure.
+    `dial_timeout`: connect timeout. `answer_timeout`: timeout of a read. `idle_timeout`: idle timeout of a
+    watch; it is resumed on a new connection without losing a change, since a half-open connection is detected
+    in no other way. `min_retry_wait` and `max_retry_wait`: first and longest wait of the backoff after a
+    failure.
     """
 
     def __init__(
@@ -51,12 +51,12 @@
         label: str,
         dial_timeout: int,
         answer_timeout: int,
-        quiet: int,
+        idle_timeout: int,
         min_retry_wait: int,
         max_retry_wait: int,
     ) -> None:
         self.kernel, self.on_update, self.log, self.count, self.label = kernel, on_update, log, count, label
-        self.dial_timeout, self.answer_timeout, self.idle_timeout = dial_timeout, answer_timeout, quiet
+        self.dial_timeout, self.answer_timeout, self.idle_timeout = dial_timeout, answer_timeout, idle_timeout
         self.prefix = prefix.encode()
         self.follower, self.roll = Follower(min_retry_wait, max_retry_wait), Roll(self.prefix)
         self.rng = kernel.random_for("registry")
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -42,7 +42,7 @@
             "a1",
             dial_timeout=500 * MS,
             answer_timeout=SECOND,
-            quiet=quiet,
+            idle_timeout=quiet,
             min_retry_wait=50 * MS,
             max_retry_wait=400 * MS,
         )
