--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -112,7 +112,7 @@
 
     def publish(self, update: MembershipUpdate, is_full: bool) -> None:
         """Logs the roll's warnings and passes on its changes, if any."""
-        for warning in update.notes:
+        for warning in update.log_messages:
             self.log("warning", warning, origin="registry")
         if update.members or is_full:
             self.on_update(is_full, update)
--- a/peattrestle/membership/exchange_list.py
+++ b/peattrestle/membership/exchange_list.py
@@ -39,11 +39,11 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipUpdate:
-    """Changes to publish: `members` whose entry changed (removed ones have the state 'gone'), and `notes`,
-    the messages for the log."""
+    """Changes to publish: `members` whose entry changed (removed ones have the state 'gone'), and
+    `log_messages`, the messages for the log."""
 
     members: tuple[Member, ...] = ()
-    notes: tuple[str, ...] = ()
+    log_messages: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
--- a/tests/registry/test_roll.py
+++ b/tests/registry/test_roll.py
@@ -102,9 +102,9 @@
     exchange_list.apply(0, **ready_exchanges(3))
     update = exchange_list.apply(1, x1=b"{", x9=b"{", x2={"number": 2, "state": "draining"})
     assert exchange_list.states() == {"x0": "ready", "x1": "ready", "x2": "draining"}
-    assert len(update.notes) == 2 and "its last valid entry stays in force" in update.notes[0]
-    assert exchange_list.apply(2, x1=b"{").notes == ()  # logged once
-    assert "valid again" in exchange_list.apply(3, x1={"number": 1}).notes[0]
+    assert len(update.log_messages) == 2 and "its last valid entry stays in force" in update.log_messages[0]
+    assert exchange_list.apply(2, x1=b"{").log_messages == ()  # logged once
+    assert "valid again" in exchange_list.apply(3, x1={"number": 1}).log_messages[0]
     exchange_list.apply(4, x1=b"{")
     exchange_list.apply(5, x1=None)
     assert exchange_list.states()["x1"] == "gone"
@@ -116,7 +116,7 @@
     update = exchange_list.apply(1, new={"number": 4})
     assert (
         exchange_list.states() == {"old": "draining", "new": "ready"}
-        and "both claim number 4" in update.notes[0]
+        and "both claim number 4" in update.log_messages[0]
     )
     exchange_list.apply(2, new={"number": 4, "state": "draining"})
     assert exchange_list.states() == {"old": "ready", "new": "draining"}
@@ -132,7 +132,7 @@
     exchange_list.apply(0, **ready_exchanges(count))
     update = exchange_list.apply(1, **{f"x{number}": None for number in range(lost)})
     gone = [name for name, state in exchange_list.states().items() if state == "gone"]
-    assert (gone == []) is kept and bool(update.notes) is kept
+    assert (gone == []) is kept and bool(update.log_messages) is kept
     exchange_list.advance(30.5)
     assert (exchange_list.states()["x0"] == "gone") is not kept
     exchange_list.advance(31)  # the loss is confirmed after 30 s
@@ -208,7 +208,7 @@
     exchange_list = PublishedList()
     exchange_list.roll.MAX_EXCHANGES = 4
     update = exchange_list.apply(0, **ready_exchanges(6))
-    assert set(exchange_list.states()) == {"x0", "x1", "x2", "x3"} and len(update.notes) == 2
+    assert set(exchange_list.states()) == {"x0", "x1", "x2", "x3"} and len(update.log_messages) == 2
     exchange_list.apply(1, x3={"number": 3, "state": "draining"})
     assert exchange_list.states()["x3"] == "draining"
 
@@ -218,4 +218,4 @@
     exchange_list.apply(0, **ready_exchanges(4))
     exchange_list.apply(1, x0=None)
     exchange_list.apply(1.2, x0={"number": 0})
-    assert exchange_list.apply(1.4, x0=None, x1=None).notes == ()
+    assert exchange_list.apply(1.4, x0=None, x1=None).log_messages == ()
