--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -104,8 +104,8 @@
         if isinstance(step, ConfirmUnchanged):
             self.roll.confirm(now)
         elif isinstance(step, Apply):
-            if step.strange:
-                self.log("warning", "connected to another registry than before", why=step.strange)
+            if step.replaced_reason:
+                self.log("warning", "connected to another registry than before", why=step.replaced_reason)
             changes = [(change.key, change.value, change.created) for change in step.changes]
             self.publish(self.roll.apply(now, changes), step.whole and not self.initial_read_done)
             self.initial_read_done |= step.whole
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -55,15 +55,15 @@
 class Apply:
     """Action: apply the changes of one or more revisions, complete up to `revision`.
 
-    `whole`: they come from a full read, so the revisions in between are unknown. `strange`: how the registry
-    differs from the one followed before (its revision went back, or it is another cluster); empty if it is
-    the same.
+    `whole`: they come from a full read, so the revisions in between are unknown. `replaced_reason`: how the
+    registry differs from the one followed before (its revision went back, or it is another cluster); empty if
+    it is the same.
     """
 
     changes: tuple[Change, ...]
     revision: int
     whole: bool = False
-    strange: str = ""
+    replaced_reason: str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -163,8 +163,8 @@
             raise BadAnswer("range: an answer to a read that was not requested")
         if answer.more:
             raise BadAnswer("range: the answer is incomplete, there are more keys")
-        strange = self._difference(answer.header.cluster_id, answer.header.revision)
-        if strange:
+        replaced_reason = self._difference(answer.header.cluster_id, answer.header.revision)
+        if replaced_reason:
             self._recent_events.clear()  # revision numbers of another history
         present = {pair.key: pair for pair in answer.kvs}
         changes = [Change(key, None, answer.header.revision) for key in self.held if key not in present]
@@ -180,7 +180,7 @@
         self.cluster, self.revision = answer.header.cluster_id, answer.header.revision
         self.counts.applied += len(changes)
         self._needs_read, self._retry_delay = False, self.least
-        return [Apply(tuple(changes), self.revision, True, strange), *self.start_request()]
+        return [Apply(tuple(changes), self.revision, True, replaced_reason), *self.start_request()]
 
     def _difference(self, cluster: int, revision: int) -> str:
         """How an answer shows another registry or an older copy of it; empty if it does not."""
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -201,10 +201,10 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "strange"),
+    ("change", "replaced_reason"),
     [({"cluster": 8}, "cluster 8 in place of 7"), ({"revision": 2}, "revision 2 after 4")],
 )
-def test_another_registry_or_an_older_copy_is_reported(change: dict[str, int], strange: str) -> None:
+def test_another_registry_or_an_older_copy_is_reported(change: dict[str, int], replaced_reason: str) -> None:
     registry = Registry()
     for number in range(3):
         registry.put(f"/x/{number}".encode(), b"a")
@@ -213,7 +213,7 @@
     other.revision = change.get("revision", 50)
     assert follower.on_watch_message(WatchResponse(other.header(), created=True), 0.5) == [RequestRead()]
     apply = follower.on_read(other.range())[0]
-    assert isinstance(apply, Apply) and apply.strange == strange
+    assert isinstance(apply, Apply) and apply.replaced_reason == replaced_reason
     assert [(each.key, each.value) for each in apply.changes] == [
         (f"/x/{number}".encode(), None) for number in range(3)
     ]
