--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -107,8 +107,8 @@
             if step.replaced_reason:
                 self.log("warning", "connected to another registry than before", why=step.replaced_reason)
             changes = [(change.key, change.value, change.created) for change in step.changes]
-            self.publish(self.roll.apply(now, changes), step.whole and not self.initial_read_done)
-            self.initial_read_done |= step.whole
+            self.publish(self.roll.apply(now, changes), step.is_full_read and not self.initial_read_done)
+            self.initial_read_done |= step.is_full_read
 
     def publish(self, update: MembershipUpdate, is_full: bool) -> None:
         """Logs the roll's warnings and passes on its changes, if any."""
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -55,14 +55,14 @@
 class Apply:
     """Action: apply the changes of one or more revisions, complete up to `revision`.
 
-    `whole`: they come from a full read, so the revisions in between are unknown. `replaced_reason`: how the
-    registry differs from the one followed before (its revision went back, or it is another cluster); empty if
-    it is the same.
+    `is_full_read`: they come from a full read, so the revisions in between are unknown. `replaced_reason`:
+    how the registry differs from the one followed before (its revision went back, or it is another cluster);
+    empty if it is the same.
     """
 
     changes: tuple[Change, ...]
     revision: int
-    whole: bool = False
+    is_full_read: bool = False
     replaced_reason: str = ""
 
 
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -72,7 +72,7 @@
         for change in action.changes:
             change_id = (change.key, change.revision)
             self.application_counts[change_id] = self.application_counts.get(change_id, 0) + 1
-            if not action.whole:
+            if not action.is_full_read:
                 self.order.append(change.revision)
             if change.value is None:
                 del self.keys[change.key]  # raises KeyError if a key is deleted twice
