--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -67,7 +67,7 @@
     def run(self) -> Coroutine[None]:
         """Follows the registry for ever."""
         # Jitter: agents that start together should not read at the same time.
-        yield from self.kernel.sleep(self.rng.randint(0, self.follower.least))
+        yield from self.kernel.sleep(self.rng.randint(0, self.follower.min_retry_delay))
         self.kernel.spawn(self.publish_due_changes(), "roll")
         steps = self.follower.start_request()
         while True:
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -101,20 +101,20 @@
 class Follower:
     """Takes the registry's answers and returns the actions to carry out.
 
-    `least`, `most`: bounds of the retry delay in nanoseconds. The delay doubles with each failure, and the
-    time actually waited is drawn from half of it to all of it.
+    `min_retry_delay`, `most`: bounds of the retry delay in nanoseconds. The delay doubles with each failure,
+    and the time actually waited is drawn from half of it to all of it.
     """
 
     MAX_FRAGMENTED_EVENTS = 100_000  # events of one fragmented message
     MAX_RECENT_EVENTS = 10_000  # events remembered, to tell a repeated event from one delivered out of order
 
-    def __init__(self, least: int = SECOND // 10, most: int = 5 * SECOND) -> None:
-        self.least, self.most = least, most
+    def __init__(self, min_retry_delay: int = SECOND // 10, most: int = 5 * SECOND) -> None:
+        self.min_retry_delay, self.most = min_retry_delay, most
         self.state = AWAY
         self.cluster = self.revision = 0
         self.held: dict[bytes, HeldValue] = {}
         self.counts = Counts()
-        self._retry_delay = least
+        self._retry_delay = min_retry_delay
         self._fragments: list[Event] = []
         self._recent_events: OrderedDict[tuple[bytes, int], None] = OrderedDict()
         self._needs_read = True  # otherwise the watch resumes after `revision`
@@ -179,7 +179,7 @@
         changes.sort(key=lambda change: change.revision)
         self.cluster, self.revision = answer.header.cluster_id, answer.header.revision
         self.counts.applied += len(changes)
-        self._needs_read, self._retry_delay = False, self.least
+        self._needs_read, self._retry_delay = False, self.min_retry_delay
         return [Apply(tuple(changes), self.revision, True, replaced_reason), *self.start_request()]
 
     def _difference(self, cluster: int, revision: int) -> str:
@@ -201,7 +201,7 @@
             return self._restart_with_read()
         if response.created:
             return []  # its header has the registry's revision, not the progress of this watch
-        self._retry_delay = self.least
+        self._retry_delay = self.min_retry_delay
         if response.fragment:
             self._fragments += response.events
             if len(self._fragments) > self.MAX_FRAGMENTED_EVENTS:
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -283,17 +283,24 @@
         assert isinstance(wait, Wait)
         waits.append(wait.length)
         follower.start_request()
-    assert waits == [follower.least // 2, 2 * follower.least, 2 * follower.least, 8 * follower.least]
+    assert waits == [
+        follower.min_retry_delay // 2,
+        2 * follower.min_retry_delay,
+        2 * follower.min_retry_delay,
+        8 * follower.min_retry_delay,
+    ]
     follower.on_watch_message(WatchResponse(registry.header()), 0.5)
     (wait,) = follower.on_connection_lost(1.0)
-    assert wait == Wait(follower.least)
+    assert wait == Wait(follower.min_retry_delay)
     follower.start_request()
     for _ in range(4):
         follower.on_connection_lost(1.0)
         follower.start_request()
     follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
     follower.on_read(registry.range())
-    assert follower.on_connection_lost(1.0) == [Wait(follower.least)]  # a full read restarts them too
+    assert follower.on_connection_lost(1.0) == [
+        Wait(follower.min_retry_delay)
+    ]  # a full read restarts them too
     follower.start_request()
     assert follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
 
