--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -101,15 +101,15 @@
 class Follower:
     """Takes the registry's answers and returns the actions to carry out.
 
-    `min_retry_delay`, `most`: bounds of the retry delay in nanoseconds. The delay doubles with each failure,
-    and the time actually waited is drawn from half of it to all of it.
+    `min_retry_delay`, `max_retry_delay`: bounds of the retry delay in nanoseconds. The delay doubles with
+    each failure, and the time actually waited is drawn from half of it to all of it.
     """
 
     MAX_FRAGMENTED_EVENTS = 100_000  # events of one fragmented message
     MAX_RECENT_EVENTS = 10_000  # events remembered, to tell a repeated event from one delivered out of order
 
-    def __init__(self, min_retry_delay: int = SECOND // 10, most: int = 5 * SECOND) -> None:
-        self.min_retry_delay, self.most = min_retry_delay, most
+    def __init__(self, min_retry_delay: int = SECOND // 10, max_retry_delay: int = 5 * SECOND) -> None:
+        self.min_retry_delay, self.max_retry_delay = min_retry_delay, max_retry_delay
         self.state = AWAY
         self.cluster = self.revision = 0
         self.held: dict[bytes, HeldValue] = {}
@@ -139,7 +139,7 @@
         self.state = AWAY
         self._fragments.clear()
         length = round(self._retry_delay * (1 + chance) / 2)
-        self._retry_delay = min(2 * self._retry_delay, self.most)
+        self._retry_delay = min(2 * self._retry_delay, self.max_retry_delay)
         return [Wait(length)]
 
     def on_error(self, error: Failed, chance: float) -> list[Action]:
