--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -141,7 +141,7 @@
                     self.read_answer(stream, conversation),
                     "timed out waiting for the registry's answer",
                 )
-                if isinstance(result, etcd.Failed):
+                if isinstance(result, etcd.ErrorAnswer):
                     return self.follower.on_error(result, self.rng.random())
                 return self.follower.on_read(etcd.read_range(result))
             assert isinstance(step, RequestWatch)
@@ -150,7 +150,7 @@
         finally:
             stream.close()
 
-    def read_answer(self, stream: Stream, conversation: Conversation) -> Coroutine[bytes | etcd.Failed]:
+    def read_answer(self, stream: Stream, conversation: Conversation) -> Coroutine[bytes | etcd.ErrorAnswer]:
         """Reads a complete answer, or the error that the registry named. Raises Lost, BadAnswer."""
         body, status = bytearray(), 0
         while True:
@@ -202,7 +202,7 @@
         if status != 200:
             return self.follower.on_error(etcd.read_error(line), self.rng.random())
         message = etcd.read_watch_response(line)
-        if isinstance(message, etcd.Failed):
+        if isinstance(message, etcd.ErrorAnswer):
             return self.follower.on_error(message, self.rng.random())
         steps = self.follower.on_watch_message(message, self.rng.random())
         for index, step in enumerate(steps):
--- a/peattrestle/registry/etcd.py
+++ b/peattrestle/registry/etcd.py
@@ -68,7 +68,7 @@
     fragment: bool = False
 
 
-class Failed(msgspec.Struct, frozen=True):
+class ErrorAnswer(msgspec.Struct, frozen=True):
     """An error that the registry returned."""
 
     code: int = 0
@@ -135,7 +135,7 @@
     return answer
 
 
-def read_watch_response(line: bytes) -> WatchResponse | Failed:
+def read_watch_response(line: bytes) -> WatchResponse | ErrorAnswer:
     """Parses one line of a watch.
 
     Raises `BadAnswer`, also if the events' revisions decrease or are higher than the header's.
@@ -143,7 +143,9 @@
     outer = _read(line, dict[str, Any], "watch")
     if "error" in outer:
         inner = outer["error"]
-        return _read(msgspec.json.encode(inner if isinstance(inner, dict) else outer), Failed, "watch error")  # type: ignore[no-any-return]
+        return _read(  # type: ignore[no-any-return]
+            msgspec.json.encode(inner if isinstance(inner, dict) else outer), ErrorAnswer, "watch error"
+        )
     if "result" not in outer:
         raise BadAnswer("watch: a message with neither result nor error")
     response: WatchResponse = _read(msgspec.json.encode(outer["result"]), WatchResponse, "watch")
@@ -163,11 +165,11 @@
     return response
 
 
-def read_error(data: bytes) -> Failed:
+def read_error(data: bytes) -> ErrorAnswer:
     """Parses the body of an answer whose status is not 200. A body that can't be parsed becomes the message,
     cut to 200 bytes."""
     try:
-        error: Failed = _read(data, Failed, "error")
+        error: ErrorAnswer = _read(data, ErrorAnswer, "error")
     except BadAnswer:
-        return Failed(0, data[:200].decode("utf-8", "replace"))
+        return ErrorAnswer(0, data[:200].decode("utf-8", "replace"))
     return error
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -15,7 +15,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from peattrestle.registry.etcd import Event, Failed, Range, WatchResponse
+from peattrestle.registry.etcd import ErrorAnswer, Event, Range, WatchResponse
 from peattrestle.registry.http import BadAnswer
 
 SECOND = 1_000_000_000  # nanoseconds
@@ -142,7 +142,7 @@
         self._retry_delay = min(2 * self._retry_delay, self.max_retry_delay)
         return [Wait(length)]
 
-    def on_error(self, error: Failed, chance: float) -> list[Action]:
+    def on_error(self, error: ErrorAnswer, chance: float) -> list[Action]:
         """Handles an error answer. A compacted watch is followed by a full read at once; after any other
         error the follower waits as in `on_connection_lost`."""
         if error.compacted and self.state == WATCHING:
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -7,7 +7,7 @@
 import pytest
 
 from peattrestle.registry import etcd
-from peattrestle.registry.etcd import Event, Failed, Header, KeyValue, Range, WatchResponse
+from peattrestle.registry.etcd import ErrorAnswer, Event, Header, KeyValue, Range, WatchResponse
 from peattrestle.registry.follower import (
     AWAY,
     WATCHING,
@@ -296,13 +296,13 @@
     for _ in range(4):
         follower.on_connection_lost(1.0)
         follower.start_request()
-    follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
+    follower.on_error(ErrorAnswer(etcd.OUT_OF_RANGE, "compacted"), 0.5)
     follower.on_read(registry.range())
     assert follower.on_connection_lost(1.0) == [
         Wait(follower.min_retry_delay)
     ]  # a full read restarts them too
     follower.start_request()
-    assert follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
+    assert follower.on_error(ErrorAnswer(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
 
 
 HEADER = b'"header":{"cluster_id":"1","revision":"5"}'
@@ -358,7 +358,7 @@
     failed = etcd.read_watch_response(
         b'{"error":{"grpc_code":11,"code":11,"message":"mvcc: required revision has been compacted"}}'
     )
-    assert isinstance(failed, Failed) and failed.compacted
+    assert isinstance(failed, ErrorAnswer) and failed.compacted
 
 
 @pytest.mark.parametrize(("prefix", "end"), [(b"/x/", b"/x0"), (b"a\xff", b"b"), (b"\xff\xff", b"\x00")])
