--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -44,7 +44,7 @@
     UnknownTransaction,
 )
 from peattrestle.membership.exchange_list import MembershipUpdate
-from peattrestle.runtime import Coroutine, Event, Kernel, Listener, Lost, Refused, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Event, Kernel, Listener, Refused, Stream
 from peattrestle.settings.agent import Agent as Settings
 
 MS = 1_000_000  # nanoseconds
@@ -137,7 +137,7 @@
                 yield from self.kernel.sleep(wait)
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             if self.connection_count >= self.settings.limits.connections:
                 self.counts.add("connections_shed")
@@ -642,7 +642,7 @@
                     reason = f"gateway left {stream.unsent} bytes unread"
                     stream.abort()
                     break
-        except Lost as error:
+        except ConnectionLost as error:
             reason = str(error)
         except (ProtocolViolation, TooManyOpenRequests) as error:
             reason = f"bad peer: {error}"
@@ -762,7 +762,7 @@
                 while True:
                     data = yield from stream.read()
                     if not data:
-                        raise Lost("the list source closed the connection")
+                        raise ConnectionLost("the list source closed the connection")
                     *lines, buffer = (buffer + data).split(b"\n")
                     if len(buffer) > listing.MAX_LINE_BYTES:
                         raise listing.BadLine(f"line longer than {listing.MAX_LINE_BYTES} bytes")
@@ -770,7 +770,7 @@
                         list_line = listing.read_line(line)
                         self.apply_list(list_line.form, list_line.entries)
                         wait = links.retry_least
-            except (Refused, Lost) as error:
+            except (Refused, ConnectionLost) as error:
                 reason = str(error)
             except listing.BadLine as error:
                 reason = f"bad line: {error}"
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -15,7 +15,7 @@
 from peattrestle.h248 import package
 from peattrestle.h248.session import ProtocolViolation, Session, SessionEvent
 from peattrestle.h248.transactions import TooManyOpenRequests, Transactions
-from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
+from peattrestle.runtime import ConnectionLost, Coroutine, Event, Kernel, Refused, Stream, TimedOut, Timer
 from peattrestle.settings.agent import Agent as Settings
 
 MAX_PENDING_RELEASES = 10_000  # releases that wait for a connection, for one exchange
@@ -141,7 +141,7 @@
                 if stream.unsent > self.settings.limits.unread:
                     stream.abort()
                     return f"exchange left {stream.unsent} bytes unread"
-        except Lost as error:
+        except ConnectionLost as error:
             return str(error)
         except ProtocolViolation as error:
             return f"bad peer: {error}"
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -21,7 +21,7 @@
     Wait,
 )
 from peattrestle.registry.http import BadAnswer, Conversation, End, Head, LineSplitter, Part
-from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, TimedOut
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused, Stream, TimedOut
 
 Log = Callable[..., None]
 MAX_BODY_BYTES = 8 << 20  # of the answer to a read
@@ -74,7 +74,7 @@
             remote_step = self.run_local_steps(steps)
             try:
                 steps = yield from self.perform_remote_step(remote_step)
-            except (Refused, Lost, TimedOut) as error:
+            except (Refused, ConnectionLost, TimedOut) as error:
                 steps = self.on_failure(str(error) or "timed out waiting for an answer")
             except BadAnswer as error:
                 self.count("registry_bad_answers")
@@ -126,7 +126,10 @@
                 self.publish(self.roll.advance(self.kernel.now()), False)
 
     def perform_remote_step(self, step: Action) -> Coroutine[list[Action]]:
-        """Waits, reads or watches; returns the next steps. Raises Refused, Lost, TimedOut, BadAnswer."""
+        """Waits, reads or watches; returns the next steps.
+
+        Raises Refused, ConnectionLost, TimedOut, BadAnswer.
+        """
         if isinstance(step, Wait):
             yield from self.kernel.sleep(step.length)
             return self.follower.start_request()
@@ -151,7 +154,7 @@
             stream.close()
 
     def read_answer(self, stream: Stream, conversation: Conversation) -> Coroutine[bytes | etcd.ErrorAnswer]:
-        """Reads a complete answer, or the error that the registry named. Raises Lost, BadAnswer."""
+        """Reads a complete answer, or the error that the registry named. Raises ConnectionLost, BadAnswer."""
         body, status = bytearray(), 0
         while True:
             data = yield from stream.read()
@@ -165,10 +168,13 @@
                 elif isinstance(piece, End):
                     return bytes(body) if status == 200 else etcd.read_error(bytes(body))
             if not data:
-                raise Lost("connection closed before the end of the answer")
+                raise ConnectionLost("connection closed before the end of the answer")
 
     def follow_watch(self, stream: Stream, conversation: Conversation) -> Coroutine[list[Action]]:
-        """Follows a watch until it ends; returns the next steps. Raises Lost, TimedOut, BadAnswer."""
+        """Follows a watch until it ends; returns the next steps.
+
+        Raises ConnectionLost, TimedOut, BadAnswer.
+        """
         lines, status = LineSplitter(MAX_LINE_BYTES), 0
         while True:
             try:
@@ -193,9 +199,9 @@
                     steps = self.handle_watch_line(rest, status) if rest else []
                     if steps:
                         return steps
-                    raise Lost("the registry ended the watch")
+                    raise ConnectionLost("the registry ended the watch")
             if not data:
-                raise Lost("connection closed during the watch")
+                raise ConnectionLost("connection closed during the watch")
 
     def handle_watch_line(self, line: bytes, status: int) -> list[Action]:
         """Applies one message of the watch; returned steps end the watch. Raises BadAnswer."""
--- a/peattrestle/platform/connections.py
+++ b/peattrestle/platform/connections.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from peattrestle.calls.core import Counts, Log
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.runtime.supervise import supervised
 from peattrestle.sip import text as sip
 
@@ -109,7 +109,7 @@
         while True:
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.add_connection(stream)
 
@@ -164,7 +164,7 @@
                     break
                 if len(data) == READ_SIZE:  # lets other tasks run while a peer sends without pause
                     yield from self.kernel.sleep(DISCARD_PAUSE if caller.close_reason else 0)
-        except Lost as error:
+        except ConnectionLost as error:
             why = str(error)
             caller.was_reset = True
         finally:
--- a/peattrestle/platform/follow.py
+++ b/peattrestle/platform/follow.py
@@ -11,7 +11,7 @@
 
 from peattrestle.feed.sse import BadFeed, EventStreamParser
 from peattrestle.feed.state import Change, FeedState, ResumeRequired
-from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, Task
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused, Stream, Task
 from peattrestle.runtime.supervise import supervised
 
 MS = 1_000_000  # nanoseconds
@@ -112,7 +112,7 @@
                                 self.on_change(change)
                     elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)) or event is h11.PAUSED:
                         return "the feed ended the response"
-        except (Lost, BadFeed, ResumeRequired, h11.RemoteProtocolError) as error:
+        except (ConnectionLost, BadFeed, ResumeRequired, h11.RemoteProtocolError) as error:
             return str(error)
         finally:
             watchdog.cancel()
--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from peattrestle.exchangeline import lines
-from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused, Stream
 from peattrestle.runtime.supervise import supervised
 
 if TYPE_CHECKING:
@@ -123,7 +123,7 @@
                     return f"the exchange left {stream.unsent} bytes unread"
                 if len(data) == 65536:
                     yield from self.kernel.sleep(0)  # lets other tasks run while a peer sends without pause
-        except Lost as error:
+        except ConnectionLost as error:
             return str(error)
         except lines.BadLine as error:
             return f"bad line: {error}"
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -7,7 +7,7 @@
 
 from peattrestle.rehearsal.script import Trouble
 from peattrestle.rehearsal.world import World
-from peattrestle.runtime import Coroutine, Lost, Refused
+from peattrestle.runtime import ConnectionLost, Coroutine, Refused
 from peattrestle.standin.exchange import SimulatedExchange
 
 MS = 1_000_000
@@ -354,5 +354,5 @@
                 stream.write(message)
                 yield from self.kernel.sleep(100 * MS)
                 stream.close()
-            except (Lost, Refused):
+            except (ConnectionLost, Refused):
                 pass
--- a/peattrestle/runtime/__init__.py
+++ b/peattrestle/runtime/__init__.py
@@ -3,11 +3,11 @@
 
 from peattrestle.runtime.kernel import (
     Cancelled,
+    ConnectionLost,
     Coroutine,
     Event,
     Kernel,
     Listener,
-    Lost,
     Queue,
     Refused,
     Stream,
@@ -23,7 +23,7 @@
     "Event",
     "Kernel",
     "Listener",
-    "Lost",
+    "ConnectionLost",
     "Queue",
     "Refused",
     "Stream",
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -13,7 +13,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from peattrestle.runtime.kernel import MS, SECOND, Coroutine, Kernel, Listener, Lost, Refused, Stream, Waiter
+from peattrestle.runtime.kernel import (
+    MS,
+    SECOND,
+    ConnectionLost,
+    Coroutine,
+    Kernel,
+    Listener,
+    Refused,
+    Stream,
+    Waiter,
+)
 
 READABLE, WRITABLE = select.EPOLLIN | select.EPOLLRDHUP, select.EPOLLOUT
 HUNG_UP = select.EPOLLHUP | select.EPOLLERR
@@ -102,7 +112,7 @@
     def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         while True:
             if self.handle.fd < 0:
-                raise Lost(self._lost_reason or "closed locally")
+                raise ConnectionLost(self._lost_reason or "closed locally")
             try:
                 data: bytes = self.handle.sock.recv(max_bytes)
                 return data
@@ -110,7 +120,7 @@
                 pass
             except OSError as error:
                 self._handle_socket_error(error)
-                raise Lost(self._lost_reason) from None
+                raise ConnectionLost(self._lost_reason) from None
             if self._reader is not None:
                 raise RuntimeError("two coroutines read one stream")
             waiter = self._reader = Waiter(self.kernel)
@@ -161,7 +171,7 @@
             self._drainers.append((below, waiter))
             yield waiter
         if self._lost_reason:
-            raise Lost(self._lost_reason)
+            raise ConnectionLost(self._lost_reason)
 
     def close_write(self) -> None:
         self._finishing = True
@@ -174,7 +184,7 @@
     def _shut(self) -> None:
         self.handle.close()
         self._out, self.unsent = [], 0
-        error = Lost(self._lost_reason or "closed locally")
+        error = ConnectionLost(self._lost_reason or "closed locally")
         if self._reader is not None:
             self._reader.fail(error)
             self._reader = None
@@ -223,7 +233,7 @@
     def accept(self) -> Coroutine[Stream]:
         while True:
             if self.handle.fd < 0:
-                raise Lost("closed locally")
+                raise ConnectionLost("closed locally")
             try:
                 sock, (host, port) = self.handle.sock.accept()
             except BlockingIOError:
@@ -239,7 +249,7 @@
                     self._shed_one()
                     yield from self.kernel.sleep(self.PAUSE)
                 elif error.errno not in (errno.ECONNABORTED, errno.EPROTO, errno.EINTR):
-                    raise Lost(str(error)) from None
+                    raise ConnectionLost(str(error)) from None
             else:
                 return self.kernel.adopt(sock, f"{host}:{port}")
 
@@ -266,7 +276,7 @@
 
     def close(self) -> None:
         if self._waiter is not None:
-            self._waiter.fail(Lost("closed locally"))
+            self._waiter.fail(ConnectionLost("closed locally"))
             self._waiter = None
         self.handle.close()
         if self._spare_descriptor >= 0:
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -22,7 +22,7 @@
     """Thrown into a cancelled coroutine; not an `Exception`, so that no broad handler catches it."""
 
 
-class Lost(Exception):
+class ConnectionLost(Exception):
     """The connection was reset, or its peer vanished."""
 
 
@@ -259,7 +259,7 @@
     def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         """Returns at least one byte and at most `max_bytes`, b'' once the peer has closed its side.
 
-        Raises `Lost`.
+        Raises `ConnectionLost`.
         """
         raise NotImplementedError
 
@@ -271,7 +271,7 @@
         raise NotImplementedError
 
     def drain(self, below: int = 65536) -> Coroutine[None]:
-        """Waits until fewer than `below` bytes are unsent. Raises `Lost`."""
+        """Waits until fewer than `below` bytes are unsent. Raises `ConnectionLost`."""
         raise NotImplementedError
 
     def close_write(self) -> None:
@@ -283,7 +283,7 @@
         raise NotImplementedError
 
     def abort(self) -> None:
-        """Resets the connection: the peer's `read` raises `Lost`."""
+        """Resets the connection: the peer's `read` raises `ConnectionLost`."""
         raise NotImplementedError
 
 
@@ -294,7 +294,7 @@
     shed: int = 0  # connections closed at once because the process had no file descriptors left
 
     def accept(self) -> Coroutine[Stream]:
-        """Waits for the next connection. Raises `Lost` once the port is closed."""
+        """Waits for the next connection. Raises `ConnectionLost` once the port is closed."""
         raise NotImplementedError
 
     def close(self) -> None:
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -12,7 +12,17 @@
 from dataclasses import dataclass
 from functools import partial
 
-from peattrestle.runtime.kernel import MS, Coroutine, Kernel, Listener, Lost, Refused, Stream, Timer, Waiter
+from peattrestle.runtime.kernel import (
+    MS,
+    ConnectionLost,
+    Coroutine,
+    Kernel,
+    Listener,
+    Refused,
+    Stream,
+    Timer,
+    Waiter,
+)
 
 
 @dataclass(slots=True)
@@ -116,7 +126,7 @@
             self._drainers.append((below, waiter))
             yield waiter
         if self._lost_reason:
-            raise Lost(self._lost_reason)
+            raise ConnectionLost(self._lost_reason)
 
     def close_write(self) -> None:
         if not self._finished and not self._closed:
@@ -140,7 +150,7 @@
     def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         while True:
             if self._closed:
-                raise Lost(self._lost_reason or "closed locally")
+                raise ConnectionLost(self._lost_reason or "closed locally")
             if self._received:
                 data = self._received.popleft()
                 if len(data) > max_bytes:
@@ -168,7 +178,7 @@
         self._closed, self._lost_reason = True, reason
         self._out.clear()
         self.unsent = 0
-        error = Lost(reason)
+        error = ConnectionLost(reason)
         if self._reader is not None:
             self._reader.fail(error)
             self._reader = None
@@ -217,7 +227,7 @@
     def accept(self) -> Coroutine[Stream]:
         while not self.pending:
             if self._closed:
-                raise Lost("closed locally")
+                raise ConnectionLost("closed locally")
             waiter = self._waiter = Waiter(self.kernel)
             try:
                 yield waiter
@@ -232,7 +242,7 @@
         if self.kernel.listeners.get(self.address) is self:
             del self.kernel.listeners[self.address]
         if self._waiter is not None:
-            self._waiter.fail(Lost("closed locally"))
+            self._waiter.fail(ConnectionLost("closed locally"))
             self._waiter = None
         for stream in self.pending:
             stream.abort()
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -16,7 +16,7 @@
 from peattrestle.h248.session import ProtocolViolation, Session
 from peattrestle.h248.text import Action, Command, Malformed, Request
 from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.standin.exchange_network import ExchangeNetwork, Group, SocketFaults
 from peattrestle.standin.processor import Processor
 
@@ -189,8 +189,8 @@
                 else:
                     self.handle_data(exchange.kernel.now(), data)
                 if self.stream.unsent > 1 << 24:
-                    raise Lost("an agent that does not read")
-        except (Lost, ProtocolViolation) as error:
+                    raise ConnectionLost("an agent that does not read")
+        except (ConnectionLost, ProtocolViolation) as error:
             reason = str(error)
         finally:
             self.stream.close()
@@ -268,7 +268,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             connection = Connection(self, stream)
             self.connections[connection] = None
--- a/peattrestle/standin/list_source.py
+++ b/peattrestle/standin/list_source.py
@@ -4,7 +4,7 @@
 
 import json
 
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.standin.exchange import SimulatedExchange
 from peattrestle.standin.record import Record
 
@@ -33,7 +33,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.kernel.spawn(self.serve_subscriber(stream), f"list < {stream.peer}")
 
@@ -52,7 +52,7 @@
             self.send(name, stream, "full", list(self.exchanges))
             while (yield from stream.read()):
                 pass
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             stream.close()
--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 
 MS = 1_000_000
 
@@ -136,7 +136,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.kernel.spawn(self.serve(stream), f"registry < {stream.peer}")
 
@@ -180,7 +180,7 @@
                 if not self.faults.mute:
                     self.handle_request(stream, agent, target, json.loads(body[:length] or b"{}"))
             stream.abort()
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             self.streams.remove(stream)
--- a/peattrestle/trials/caller.py
+++ b/peattrestle/trials/caller.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused, Stream
 from peattrestle.sip import text as sip
 from peattrestle.trials.deployment import BEARER_TYPE, Deployment
 from peattrestle.trials.record import Answer, CallerConnection, ConnectionEnd, Record, Request
@@ -81,7 +81,7 @@
                 reader.feed(data)
                 while (message := reader.next()) is not None:
                     self.group.handle_message(self, message)
-        except Lost:
+        except ConnectionLost:
             end = ConnectionEnd.AGENT_RESET
         except sip.BadMessage as error:
             self.group.record.unsolicited.append(f"a caller got an unreadable message: {error}")
--- a/peattrestle/trials/exchange.py
+++ b/peattrestle/trials/exchange.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from peattrestle.exchangeline import lines
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.trials.record import Attempt, AttemptEnd, Record
 
 MS = 1_000_000
@@ -68,7 +68,7 @@
         while True:
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.streams[stream] = agent
             self.kernel.spawn(self.serve(stream), f"connection of exchange {self.name}")
@@ -85,7 +85,7 @@
                 reader.feed(data)
                 while (line := reader.next()) is not None:
                     self.handle_line(stream, line)
-        except Lost:
+        except ConnectionLost:
             pass
         except lines.BadLine as error:
             self.record.unsolicited.append(f"{self.name} got an unreadable line: {error}")
--- a/peattrestle/trials/feed.py
+++ b/peattrestle/trials/feed.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.trials.deployment import Deployment
 
 MS = 1_000_000
@@ -79,7 +79,7 @@
         while True:
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.agent_by_stream[stream] = agent
             self.kernel.spawn(self.serve(stream), "feed subscriber")
@@ -87,7 +87,7 @@
     def serve(self, stream: Stream) -> Coroutine[None]:
         try:
             yield from self.handle_request(stream)
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             self.subscribers.pop(stream, None)
--- a/peattrestle/trials/process.py
+++ b/peattrestle/trials/process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import IO
 
-from peattrestle.runtime import Coroutine, Kernel, Lost, Refused
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused
 from peattrestle.trials.caller import bodyless_request
 from peattrestle.trials.deployment import Deployment
 from peattrestle.trials.record import AgentRun, Record
@@ -101,7 +101,7 @@
         stream.write(bodyless_request("OPTIONS", "ping"))
         try:
             data = yield from stream.read()
-        except Lost:
+        except ConnectionLost:
             data = b""
         stream.close()
         return data.startswith(b"SIP/2.0 200")
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -15,7 +15,7 @@
 from peattrestle.h248.transactions import Answered, StillPending, Transactions
 from peattrestle.rehearsal.script import Bearer, Fleet, Script
 from peattrestle.rehearsal.world import World
-from peattrestle.runtime import Coroutine, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Stream
 from peattrestle.runtime.virtual import Network, VirtualKernel
 from peattrestle.settings.agent import Limits
 
@@ -99,7 +99,7 @@
         session, stream = yield from harness.gateway()
         harness.kernel.spawn(harness.listen(session, stream), "listen")
         _, second = yield from harness.gateway("g1")
-        with contextlib.suppress(Lost):  # sending to the closed port may end in a reset
+        with contextlib.suppress(ConnectionLost):  # sending to the closed port may end in a reset
             assert (yield from second.read()) == b""
         harness.call(session, 1)
         yield from harness.kernel.sleep(2 * SECOND)
@@ -124,7 +124,7 @@
                 yield from harness.kernel.sleep(5 * MS)
         harness.call(session, 1)
         yield from harness.kernel.sleep(2 * SECOND)
-        with pytest.raises(Lost):
+        with pytest.raises(ConnectionLost):
             while (yield from stalled_stream.read()):
                 pass
 
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -17,7 +17,7 @@
 from peattrestle.exchangeline.lines import Line
 from peattrestle.platform import config as configuration
 from peattrestle.platform.agent import Agent
-from peattrestle.runtime import Coroutine, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Stream
 from peattrestle.runtime.epoll import EpollKernel
 from peattrestle.runtime.virtual import Network, VirtualKernel
 from peattrestle.sip import text as sip
@@ -107,7 +107,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.streams.append(stream)
             self.harness.kernel.spawn(self.serve(stream), "exchange's connection", watch=False)
@@ -161,7 +161,7 @@
                 reader.feed(data)
                 while (message := reader.next()) is not None:
                     self.messages.append(message)
-        except Lost:
+        except ConnectionLost:
             pass
         self.closed_at = self.harness.kernel.now()
 
@@ -190,7 +190,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.harness.kernel.spawn(self.serve(stream), "feed's connection", watch=False)
 
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -13,11 +13,11 @@
 
 from peattrestle.runtime import (
     Cancelled,
+    ConnectionLost,
     Coroutine,
     Event,
     Kernel,
     Listener,
-    Lost,
     Queue,
     Refused,
     Stream,
@@ -234,11 +234,11 @@
         yield from kernel.sleep(50 * MS)
         if how == "write after the peer is gone":
             assert reader.result == b""  # the end of the stream first, then the reset
-            with pytest.raises(Lost):
+            with pytest.raises(ConnectionLost):
                 yield from here.read()
                 yield from here.read()
         else:
-            with pytest.raises(Lost):
+            with pytest.raises(ConnectionLost):
                 yield from reader.join()
         here.write(b"thrown away")
         assert here.unsent == 0
@@ -254,7 +254,7 @@
         listener.close()
         with pytest.raises(Refused):
             yield from kernel.connect(address, 500 * MS)
-        with pytest.raises(Lost):
+        with pytest.raises(ConnectionLost):
             yield from listener.accept()
 
     run(kernel, body())
@@ -360,7 +360,7 @@
         stream = yield from kernel.connect("127.0.0.1:7000", 100 * MS)
         yield from kernel.sleep(10 * MS)
         process.kill()
-        with pytest.raises(Lost):
+        with pytest.raises(ConnectionLost):
             yield from stream.read()
         with pytest.raises(Refused):
             yield from kernel.connect("127.0.0.1:7000", 100 * MS)
