--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -44,7 +44,7 @@
     UnknownTransaction,
 )
 from peattrestle.membership.exchange_list import MembershipUpdate
-from peattrestle.runtime import ConnectionLost, Coroutine, Event, Kernel, Listener, Refused, Stream
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Event, Kernel, Listener, Stream
 from peattrestle.settings.agent import Agent as Settings
 
 MS = 1_000_000  # nanoseconds
@@ -770,7 +770,7 @@
                         list_line = listing.read_line(line)
                         self.apply_list(list_line.form, list_line.entries)
                         wait = links.retry_least
-            except (Refused, ConnectionLost) as error:
+            except (ConnectFailed, ConnectionLost) as error:
                 reason = str(error)
             except listing.BadLine as error:
                 reason = f"bad line: {error}"
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -15,7 +15,16 @@
 from peattrestle.h248 import package
 from peattrestle.h248.session import ProtocolViolation, Session, SessionEvent
 from peattrestle.h248.transactions import TooManyOpenRequests, Transactions
-from peattrestle.runtime import ConnectionLost, Coroutine, Event, Kernel, Refused, Stream, TimedOut, Timer
+from peattrestle.runtime import (
+    ConnectFailed,
+    ConnectionLost,
+    Coroutine,
+    Event,
+    Kernel,
+    Stream,
+    TimedOut,
+    Timer,
+)
 from peattrestle.settings.agent import Agent as Settings
 
 MAX_PENDING_RELEASES = 10_000  # releases that wait for a connection, for one exchange
@@ -94,7 +103,7 @@
             reason = ""
             try:
                 stream = yield from self.kernel.connect(self.address, links.dial_timeout, self.settings.label)
-            except (Refused, ValueError) as error:
+            except (ConnectFailed, ValueError) as error:
                 reason = str(error)
             else:
                 started = self.kernel.now()
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -21,7 +21,7 @@
     Wait,
 )
 from peattrestle.registry.http import BadAnswer, Conversation, End, Head, LineSplitter, Part
-from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused, Stream, TimedOut
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel, Stream, TimedOut
 
 Log = Callable[..., None]
 MAX_BODY_BYTES = 8 << 20  # of the answer to a read
@@ -74,7 +74,7 @@
             remote_step = self.run_local_steps(steps)
             try:
                 steps = yield from self.perform_remote_step(remote_step)
-            except (Refused, ConnectionLost, TimedOut) as error:
+            except (ConnectFailed, ConnectionLost, TimedOut) as error:
                 steps = self.on_failure(str(error) or "timed out waiting for an answer")
             except BadAnswer as error:
                 self.count("registry_bad_answers")
@@ -128,7 +128,7 @@
     def perform_remote_step(self, step: Action) -> Coroutine[list[Action]]:
         """Waits, reads or watches; returns the next steps.
 
-        Raises Refused, ConnectionLost, TimedOut, BadAnswer.
+        Raises ConnectFailed, ConnectionLost, TimedOut, BadAnswer.
         """
         if isinstance(step, Wait):
             yield from self.kernel.sleep(step.length)
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -8,7 +8,7 @@
 from peattrestle.h248 import package
 from peattrestle.h248.session import MalformedMessage, ProtocolViolation, Session
 from peattrestle.h248.transactions import Answered, Transactions
-from peattrestle.runtime import ConnectionLost, Coroutine, Refused, TimedOut
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, TimedOut
 from peattrestle.runtime.epoll import EpollKernel
 
 SECOND = 1_000_000_000  # nanoseconds
@@ -57,7 +57,7 @@
     def run_with_timeout() -> Coroutine[None]:
         try:
             yield from kernel.with_timeout(request.patience + hold + 3 * SECOND, run_call())
-        except (Refused, ConnectionLost, ProtocolViolation, TimedOut) as error:
+        except (ConnectFailed, ConnectionLost, ProtocolViolation, TimedOut) as error:
             answer["text"] = answer["text"] or str(error)
         finally:
             kernel.stop()
--- a/peattrestle/platform/follow.py
+++ b/peattrestle/platform/follow.py
@@ -11,7 +11,7 @@
 
 from peattrestle.feed.sse import BadFeed, EventStreamParser
 from peattrestle.feed.state import Change, FeedState, ResumeRequired
-from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused, Stream, Task
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel, Stream, Task
 from peattrestle.runtime.supervise import supervised
 
 MS = 1_000_000  # nanoseconds
@@ -62,7 +62,7 @@
             last = self.state.last
             try:
                 stream = yield from self.kernel.connect(self.address, DIAL_TIMEOUT)
-            except (Refused, ValueError) as error:
+            except (ConnectFailed, ValueError) as error:
                 why = str(error)
             else:
                 self.stream = stream
--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from peattrestle.exchangeline import lines
-from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused, Stream
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel, Stream
 from peattrestle.runtime.supervise import supervised
 
 if TYPE_CHECKING:
@@ -79,7 +79,7 @@
             has_received = False
             try:
                 stream = yield from self.kernel.connect(link.address, link.dial_timeout)
-            except (Refused, ValueError) as error:
+            except (ConnectFailed, ValueError) as error:
                 link.connect_failed = True
                 link.owner.on_link_refused(link, "ECONNREFUSED" in str(error))
             else:
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -7,7 +7,7 @@
 
 from peattrestle.rehearsal.script import Trouble
 from peattrestle.rehearsal.world import World
-from peattrestle.runtime import ConnectionLost, Coroutine, Refused
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine
 from peattrestle.standin.exchange import SimulatedExchange
 
 MS = 1_000_000
@@ -354,5 +354,5 @@
                 stream.write(message)
                 yield from self.kernel.sleep(100 * MS)
                 stream.close()
-            except (ConnectionLost, Refused):
+            except (ConnectionLost, ConnectFailed):
                 pass
--- a/peattrestle/runtime/__init__.py
+++ b/peattrestle/runtime/__init__.py
@@ -3,13 +3,13 @@
 
 from peattrestle.runtime.kernel import (
     Cancelled,
+    ConnectFailed,
     ConnectionLost,
     Coroutine,
     Event,
     Kernel,
     Listener,
     Queue,
-    Refused,
     Stream,
     Task,
     TimedOut,
@@ -25,7 +25,7 @@
     "Listener",
     "ConnectionLost",
     "Queue",
-    "Refused",
+    "ConnectFailed",
     "Stream",
     "Task",
     "TimedOut",
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -16,11 +16,11 @@
 from peattrestle.runtime.kernel import (
     MS,
     SECOND,
+    ConnectFailed,
     ConnectionLost,
     Coroutine,
     Kernel,
     Listener,
-    Refused,
     Stream,
     Waiter,
 )
@@ -326,13 +326,13 @@
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
-            raise Refused(f"{address}: {error}") from None
+            raise ConnectFailed(f"{address}: {error}") from None
         sock.setblocking(False)
         error_code = sock.connect_ex(host_port)
         if error_code == errno.EINPROGRESS:
             waiter = Waiter(self)
             handle = Handle(self, sock, waiter.set)
-            timer = self.at(self.now() + timeout, lambda: waiter.fail(Refused(f"{address}: no answer")))
+            timer = self.at(self.now() + timeout, lambda: waiter.fail(ConnectFailed(f"{address}: no answer")))
             try:
                 handle.set_mask(WRITABLE)
                 yield waiter
@@ -345,7 +345,7 @@
             handle.set_mask(0)
         if error_code:
             sock.close()
-            raise Refused(f"{address}: {errno.errorcode.get(error_code, error_code)}")
+            raise ConnectFailed(f"{address}: {errno.errorcode.get(error_code, error_code)}")
         return self.adopt(sock, address)
 
     def run(self, until: int | None = None) -> None:
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -26,7 +26,7 @@
     """The connection was reset, or its peer vanished."""
 
 
-class Refused(Exception):
+class ConnectFailed(Exception):
     """No connection could be made."""
 
 
@@ -460,5 +460,5 @@
         raise NotImplementedError
 
     def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
-        """Connects from `source` to `address`. Raises `Refused`, also after `timeout` nanoseconds."""
+        """Connects from `source` to `address`. Raises `ConnectFailed`, also after `timeout` nanoseconds."""
         raise NotImplementedError
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -14,11 +14,11 @@
 
 from peattrestle.runtime.kernel import (
     MS,
+    ConnectFailed,
     ConnectionLost,
     Coroutine,
     Kernel,
     Listener,
-    Refused,
     Stream,
     Timer,
     Waiter,
@@ -287,10 +287,10 @@
         yield from self.sleep(min(2 * here.delay, timeout))
         if self.network.cut(source, address):
             yield from self.sleep(max(0, timeout - 2 * here.delay))
-            raise Refused(f"{address}: no answer")
+            raise ConnectFailed(f"{address}: no answer")
         listener = self.listeners.get(address)
         if listener is None or len(listener.pending) >= listener.backlog:
-            raise Refused(f"{address}: ECONNREFUSED")
+            raise ConnectFailed(f"{address}: ECONNREFUSED")
         there = VirtualStream(self, address, source or f"127.0.0.1:{self._port}")
         there.delay = here.delay
         here.other, there.other = there, here
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -9,7 +9,16 @@
 from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import ProtocolViolation, Session
 from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
-from peattrestle.runtime import ConnectionLost, Coroutine, Event, Kernel, Refused, Stream, TimedOut, Timer
+from peattrestle.runtime import (
+    ConnectFailed,
+    ConnectionLost,
+    Coroutine,
+    Event,
+    Kernel,
+    Stream,
+    TimedOut,
+    Timer,
+)
 from peattrestle.standin.record import Record
 
 MS = 1_000_000
@@ -192,7 +201,7 @@
             try:
                 stream = yield from self.kernel.connect(self.address(), SECOND, self.name)
                 yield from self.run_session(stream)
-            except (Refused, ConnectionLost, ProtocolViolation):
+            except (ConnectFailed, ConnectionLost, ProtocolViolation):
                 self.failed_connections += 1
             self.on_connection_lost()
             behaviour = self.traffic.behaviour
--- a/peattrestle/trials/caller.py
+++ b/peattrestle/trials/caller.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused, Stream
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel, Stream
 from peattrestle.sip import text as sip
 from peattrestle.trials.deployment import BEARER_TYPE, Deployment
 from peattrestle.trials.record import Answer, CallerConnection, ConnectionEnd, Record, Request
@@ -151,7 +151,7 @@
             stream = yield from self.kernel.connect(
                 self.deployment.agent_address(self.agent), CONNECT_TIMEOUT
             )
-        except Refused:
+        except ConnectFailed:
             return
         driver = CallerConnectionDriver(self, stream)
         self.connections.append(driver)
@@ -268,7 +268,7 @@
     def run(self) -> Coroutine[None]:
         try:
             stream = yield from self.kernel.connect(self.address, CONNECT_TIMEOUT)
-        except Refused:
+        except ConnectFailed:
             return
         stream.write(self.data)
         answered = False
--- a/peattrestle/trials/process.py
+++ b/peattrestle/trials/process.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import IO
 
-from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Refused
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel
 from peattrestle.trials.caller import bodyless_request
 from peattrestle.trials.deployment import Deployment
 from peattrestle.trials.record import AgentRun, Record
@@ -96,7 +96,7 @@
             stream = yield from self.kernel.connect(
                 self.deployment.agent_address(self.agent), CONNECT_TIMEOUT
             )
-        except Refused:
+        except ConnectFailed:
             return False
         stream.write(bodyless_request("OPTIONS", "ping"))
         try:
--- a/tests/agent/test_shutdown.py
+++ b/tests/agent/test_shutdown.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from peattrestle.runtime import Coroutine, Refused
+from peattrestle.runtime import ConnectFailed, Coroutine
 from peattrestle.settings.agent import Limits
 from tests.agent.test_bounds import SECOND, AgentHarness
 
@@ -28,7 +28,7 @@
         while 2 not in harness.answers():
             yield from harness.kernel.sleep(SECOND // 10_000)
         assert harness.answers()[2][0] == REFUSED
-        with pytest.raises(Refused):
+        with pytest.raises(ConnectFailed):
             yield from harness.gateway("g1")
         yield from harness.kernel.sleep(4 * SECOND)
 
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -13,13 +13,13 @@
 
 from peattrestle.runtime import (
     Cancelled,
+    ConnectFailed,
     ConnectionLost,
     Coroutine,
     Event,
     Kernel,
     Listener,
     Queue,
-    Refused,
     Stream,
     TimedOut,
 )
@@ -252,7 +252,7 @@
         listener = kernel.listen("127.0.0.1:0")
         address = listener.address
         listener.close()
-        with pytest.raises(Refused):
+        with pytest.raises(ConnectFailed):
             yield from kernel.connect(address, 500 * MS)
         with pytest.raises(ConnectionLost):
             yield from listener.accept()
@@ -362,7 +362,7 @@
         process.kill()
         with pytest.raises(ConnectionLost):
             yield from stream.read()
-        with pytest.raises(Refused):
+        with pytest.raises(ConnectFailed):
             yield from kernel.connect("127.0.0.1:7000", 100 * MS)
         yield from kernel.sleep(100 * MS)
 
