--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -67,8 +67,8 @@
 class Task(Generic[T]):
     """A running coroutine.
 
-    `watch`: if it raises and nobody has joined it, the error is reported to the kernel; otherwise it is only
-    kept in `error`.
+    `report_errors`: if it raises and nobody has joined it, the error is reported to the kernel; otherwise it
+    is only kept in `error`.
     """
 
     __slots__ = (
@@ -81,11 +81,11 @@
         "error",
         "join_waiters",
         "cancel_pending",
-        "watch",
+        "report_errors",
     )
 
-    def __init__(self, kernel: Kernel, body: Coroutine[T], name: str, watch: bool) -> None:
-        self.kernel, self.body, self.name, self.watch = kernel, body, name, watch
+    def __init__(self, kernel: Kernel, body: Coroutine[T], name: str, report_errors: bool) -> None:
+        self.kernel, self.body, self.name, self.report_errors = kernel, body, name, report_errors
         self.waiter: Waiter | None = None
         self.done = False
         self.result: T | None = None
@@ -150,7 +150,12 @@
         self.kernel.tasks.pop(self, None)
         for waiter in self.join_waiters:
             waiter.set()
-        if error is not None and not isinstance(error, Cancelled) and self.watch and not self.join_waiters:
+        if (
+            error is not None
+            and not isinstance(error, Cancelled)
+            and self.report_errors
+            and not self.join_waiters
+        ):
             self.kernel.report_crash(self, error)
 
 
@@ -343,12 +348,12 @@
 
     # Tasks and timers.
 
-    def spawn(self, body: Coroutine[T], name: str, watch: bool = True) -> Task[T]:
+    def spawn(self, body: Coroutine[T], name: str, report_errors: bool = True) -> Task[T]:
         """Starts a coroutine in the next turn.
 
-        If it raises, nobody has joined it and `watch` is true, the error is passed to `on_crash`.
+        If it raises, nobody has joined it and `report_errors` is true, the error is passed to `on_crash`.
         """
-        task = Task(self, body, name, watch)
+        task = Task(self, body, name, report_errors)
         self.tasks[task] = None
         self.ready.append(task)
         return task
@@ -393,7 +398,7 @@
 
         Raises `TimedOut` once the time has passed and the cancelled coroutine has ended.
         """
-        task = self.spawn(body, name, watch=False)
+        task = self.spawn(body, name, report_errors=False)
         timer = self.at(self.now() + length, task.cancel)
         try:
             result = yield from task.join()
--- a/peattrestle/runtime/supervise.py
+++ b/peattrestle/runtime/supervise.py
@@ -17,7 +17,7 @@
     `delay`: nanoseconds before it runs again, so that one that raises at once does not occupy a core.
     """
     while True:
-        task = kernel.spawn(body(), name, watch=False)
+        task = kernel.spawn(body(), name, report_errors=False)
         try:
             yield from task.join()
             return
--- a/peattrestle/trials/caller.py
+++ b/peattrestle/trials/caller.py
@@ -272,7 +272,7 @@
             return
         stream.write(self.data)
         answered = False
-        reader = self.kernel.spawn(stream.read(), "abusive caller reads", watch=False)
+        reader = self.kernel.spawn(stream.read(), "abusive caller reads", report_errors=False)
         deadline = self.kernel.now() + ABUSE_RESPONSE_TIMEOUT
         while self.kernel.now() < deadline and not answered:
             yield from self.kernel.sleep(20 * MS)
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -57,7 +57,7 @@
         session.request(number, lambda transaction_id: package.add_text(transaction_id, request))
 
     def run(self, body: Coroutine[Any]) -> Any:
-        task = self.kernel.spawn(body, "test", watch=False)
+        task = self.kernel.spawn(body, "test", report_errors=False)
         self.kernel.run(self.kernel.now() + 20 * SECOND)
         assert task.done
         if task.error is not None:
@@ -204,7 +204,7 @@
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
         session, stream = yield from harness.gateway()
-        harness.kernel.spawn(harness.listen(session, stream), "listen", watch=False)
+        harness.kernel.spawn(harness.listen(session, stream), "listen", report_errors=False)
         yield from harness.kernel.sleep(20 * MS)
         harness.call(session, 1)
         if state == "asked":
@@ -224,7 +224,7 @@
         new_session, new_stream = yield from harness.gateway(
             first_transaction_id=1000
         )  # restarted without its calls
-        harness.kernel.spawn(harness.listen(new_session, new_stream), "listen", watch=False)
+        harness.kernel.spawn(harness.listen(new_session, new_stream), "listen", report_errors=False)
         yield from harness.kernel.sleep(3 * SECOND)
 
     harness.run(body())
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -110,7 +110,7 @@
             except ConnectionLost:
                 return
             self.streams.append(stream)
-            self.harness.kernel.spawn(self.serve(stream), "exchange's connection", watch=False)
+            self.harness.kernel.spawn(self.serve(stream), "exchange's connection", report_errors=False)
 
     def serve(self, stream: Stream) -> Coroutine[None]:
         reader = lines.Reader()
@@ -192,7 +192,7 @@
                 stream = yield from self.listener.accept()
             except ConnectionLost:
                 return
-            self.harness.kernel.spawn(self.serve(stream), "feed's connection", watch=False)
+            self.harness.kernel.spawn(self.serve(stream), "feed's connection", report_errors=False)
 
     def serve(self, stream: Stream) -> Coroutine[None]:
         data = b""
@@ -256,7 +256,7 @@
 
         def connect() -> Coroutine[None]:
             caller.stream = yield from self.kernel.connect(f"127.0.0.1:{self.port}", SECOND)
-            self.kernel.spawn(caller.run(), "caller", watch=False)
+            self.kernel.spawn(caller.run(), "caller", report_errors=False)
             caller.send(*data)
 
         self.kernel.spawn(connect(), "caller connects")
@@ -577,7 +577,7 @@
             caller.stream = yield from harness.kernel.connect("127.0.0.1:3868", SECOND)
             yield from caller.run()
 
-        harness.kernel.spawn(connect(), "silent caller", watch=False)
+        harness.kernel.spawn(connect(), "silent caller", report_errors=False)
     harness.advance(50)
     assert len(harness.agent.connections.active) <= 64
     assert harness.caller(invite()).statuses() == [200]
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -69,7 +69,7 @@
     """Runs `body` on a virtual kernel until it stops the kernel, for at most 600 s of virtual time."""
     kernel = VirtualKernel(seed, Network(cut_up=0.3))
     followed = FollowedRegistry(kernel, **options)
-    task = kernel.spawn(body(followed), "test", watch=False)
+    task = kernel.spawn(body(followed), "test", report_errors=False)
     kernel.run(kernel.now() + 600 * SECOND if not task.done else 0)
     assert task.done
     if task.error is not None:
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -38,7 +38,7 @@
 
 def run(kernel: Kernel, body: Coroutine[Any]) -> Any:
     """Runs a coroutine and returns its result or raises its error; fails after 20 s of the kernel's time."""
-    task = kernel.spawn(body, "test", watch=False)
+    task = kernel.spawn(body, "test", report_errors=False)
 
     def end() -> Coroutine[None]:
         with contextlib.suppress(Exception):
@@ -220,7 +220,7 @@
 def test_a_connection_that_ends_during_a_read(kernel: Kernel, how: str) -> None:
     def body() -> Coroutine[None]:
         here, there, _ = yield from connected_pair(kernel)
-        reader = kernel.spawn(here.read(), "reader", watch=False)
+        reader = kernel.spawn(here.read(), "reader", report_errors=False)
         yield from kernel.sleep(10 * MS)
         if how == "abort":
             there.abort()
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -52,7 +52,7 @@
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
         for number in range(20):
-            harness.kernel.spawn(gateway(f"g{number}"), f"g{number}", watch=False)
+            harness.kernel.spawn(gateway(f"g{number}"), f"g{number}", report_errors=False)
         yield from harness.kernel.sleep(4 * SECOND)
 
     harness.run(body())
@@ -99,7 +99,7 @@
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
         session, stream = yield from harness.gateway()
-        harness.kernel.spawn(receive(session, stream), "receive", watch=False)
+        harness.kernel.spawn(receive(session, stream), "receive", report_errors=False)
         for number in range(300):  # 200 a second; the trunk group has a few circuits
             harness.call(session, number)
             yield from harness.kernel.sleep(5 * MS)
