--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -117,7 +117,7 @@
 
     kernel.on_signals((signal.SIGTERM, signal.SIGINT), on_signal)
     if while_stdin:
-        kernel.watch(0, lambda: kernel.stop() if not os.read(0, 4096) else None)
+        kernel.add_reader(0, lambda: kernel.stop() if not os.read(0, 4096) else None)
     call_agent.start()
     kernel.run()
     call_agent.stop()
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -367,7 +367,7 @@
                     handle.on_event(mask)
             self.fire_timers(self.now())
 
-    def watch(self, fd: int, action: Callable[[], None]) -> None:
+    def add_reader(self, fd: int, action: Callable[[], None]) -> None:
         """Calls `action` each time `fd` is readable, which includes its end of file."""
         handle = Handle(self, _BorrowedDescriptor(fd), lambda mask: action())
         handle.set_mask(select.EPOLLIN)
@@ -388,7 +388,7 @@
                     if number in numbers:
                         action(number)
 
-        self.watch(receiver.fileno(), on_readable)
+        self.add_reader(receiver.fileno(), on_readable)
 
     def close(self) -> None:
         super().close()
