--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -29,15 +29,15 @@
 class Network:
     """The properties of simulated connections, and which of them are cut now.
 
-    `min_delay`, `max_delay`: one-way delay in nanoseconds. `cut_up`: probability that a segment is split in
-    two. `window`: bytes that a peer may have unread before further ones stay with the writer.
+    `min_delay`, `max_delay`: one-way delay in nanoseconds. `split_probability`: probability that a segment is
+    split in two. `window`: bytes that a peer may have unread before further ones stay with the writer.
     `cut(source, address)`: whether the two are cut off from each other now; bytes wait until they are not.
     `cut_check_interval`: nanoseconds between checks whether a cut has ended.
     """
 
     min_delay: int = MS // 5
     max_delay: int = 2 * MS
-    cut_up: float = 0.1
+    split_probability: float = 0.1
     window: int = 262144
     cut: Callable[[str, str], bool] = lambda source, address: False
     cut_check_interval: int = 20 * MS
@@ -83,7 +83,7 @@
                 data = data[:free]
             self.unsent -= len(data)
             segments = [bytes(data)]
-            if len(data) > 1 and self.kernel.rng.random() < network.cut_up:
+            if len(data) > 1 and self.kernel.rng.random() < network.split_probability:
                 split_at = self.kernel.rng.randint(1, len(data) - 1)
                 segments = [bytes(data[:split_at]), bytes(data[split_at:])]
             for segment in segments:
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -242,7 +242,7 @@
 
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
-        harness.kernel.network.cut_up = 0.0
+        harness.kernel.network.split_probability = 0.0
         session, stream = yield from harness.gateway()
         harness.kernel.spawn(harness.listen(session, stream), "listen")
         yield from harness.kernel.sleep(20 * MS)
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -227,7 +227,7 @@
     port = 3868
 
     def __init__(self, seed: int = 1, **more: Any) -> None:
-        self.kernel: Any = VirtualKernel(seed, Network(cut_up=0.3))
+        self.kernel: Any = VirtualKernel(seed, Network(split_probability=0.3))
         self.open(more)
 
     def open(self, more: dict[str, Any]) -> None:
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -67,7 +67,7 @@
     body: Callable[[FollowedRegistry], Coroutine[None]], seed: int = 1, **options: Any
 ) -> FollowedRegistry:
     """Runs `body` on a virtual kernel until it stops the kernel, for at most 600 s of virtual time."""
-    kernel = VirtualKernel(seed, Network(cut_up=0.3))
+    kernel = VirtualKernel(seed, Network(split_probability=0.3))
     followed = FollowedRegistry(kernel, **options)
     task = kernel.spawn(body(followed), "test", report_errors=False)
     kernel.run(kernel.now() + 600 * SECOND if not task.done else 0)
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -318,7 +318,7 @@
 
 def run_transfer(seed: int) -> tuple[list[bytes], int]:
     """The segments received in a virtual run, and the time at its end."""
-    kernel = VirtualKernel(seed, Network(cut_up=0.5))
+    kernel = VirtualKernel(seed, Network(split_probability=0.5))
     received: list[bytes] = []
 
     def body() -> Coroutine[None]:
