--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -21,15 +21,15 @@
     """Faults that are active now.
 
     `unreachable`: connections are reset. `mute`: requests are read and not answered. `reset_after_bytes`: the
-    connection is reset after so many bytes of the following answers; -1 for never. `doubled`: events are sent
-    twice. `late`: nanoseconds by which each answer is delayed. `error`: the HTTP status of every answer; 0
-    for none. `hold_events`: events are held back, in order.
+    connection is reset after so many bytes of the following answers; -1 for never. `duplicate_events`: events
+    are sent twice. `late`: nanoseconds by which each answer is delayed. `error`: the HTTP status of every
+    answer; 0 for none. `hold_events`: events are held back, in order.
     """
 
     unreachable: bool = False
     mute: bool = False
     reset_after_bytes: int = -1
-    doubled: bool = False
+    duplicate_events: bool = False
     late: int = 0
     error: int = 0
     hold_events: bool = False
@@ -249,7 +249,7 @@
         for event in events:
             value = base64.b64decode(event["kv"]["value"]) if "value" in event["kv"] else None
             self.on_sent(watcher.agent, base64.b64decode(event["kv"]["key"]), value)
-        for _ in range(2 if self.faults.doubled else 1):
+        for _ in range(2 if self.faults.duplicate_events else 1):
             self.send_chunk(watcher.stream, {"header": self.header(), "events": events})
 
     def send_progress(self) -> None:
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -112,7 +112,7 @@
             if fault == "leave":
                 registry.leave()
             elif fault == "doubled":
-                faults.doubled = True
+                faults.duplicate_events = True
             elif fault == "cut":
                 faults.reset_after_bytes = rng.randrange(400)
             elif fault == "mute":
@@ -140,7 +140,7 @@
             if fault == "progress":
                 registry.send_progress()
             yield from followed.kernel.sleep(rng.randrange(2000) * MS)
-            faults.doubled = faults.mute = faults.hold_events = False
+            faults.duplicate_events = faults.mute = faults.hold_events = False
             faults.late = faults.error = 0
             faults.reset_after_bytes = -1
             registry.recover()
