--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -22,15 +22,15 @@
 
     `unreachable`: connections are reset. `mute`: requests are read and not answered. `reset_after_bytes`: the
     connection is reset after so many bytes of the following answers; -1 for never. `duplicate_events`: events
-    are sent twice. `late`: nanoseconds by which each answer is delayed. `error`: the HTTP status of every
-    answer; 0 for none. `hold_events`: events are held back, in order.
+    are sent twice. `reply_delay`: nanoseconds by which each answer is delayed. `error`: the HTTP status of
+    every answer; 0 for none. `hold_events`: events are held back, in order.
     """
 
     unreachable: bool = False
     mute: bool = False
     reset_after_bytes: int = -1
     duplicate_events: bool = False
-    late: int = 0
+    reply_delay: int = 0
     error: int = 0
     hold_events: bool = False
 
@@ -175,8 +175,8 @@
                     b"",
                 ).decode("ascii", "replace")
                 agent = agent.strip().removeprefix("peattrestle/")
-                if self.faults.late:
-                    yield from self.kernel.sleep(self.faults.late)
+                if self.faults.reply_delay:
+                    yield from self.kernel.sleep(self.faults.reply_delay)
                 if not self.faults.mute:
                     self.handle_request(stream, agent, target, json.loads(body[:length] or b"{}"))
             stream.abort()
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -120,7 +120,7 @@
                 for stream in list(registry.streams):
                     stream.abort()
             elif fault == "late":
-                faults.late = 300 * MS
+                faults.reply_delay = 300 * MS
             elif fault == "error":
                 faults.error = 503
             elif fault == "stuck":
@@ -141,7 +141,7 @@
                 registry.send_progress()
             yield from followed.kernel.sleep(rng.randrange(2000) * MS)
             faults.duplicate_events = faults.mute = faults.hold_events = False
-            faults.late = faults.error = 0
+            faults.reply_delay = faults.error = 0
             faults.reset_after_bytes = -1
             registry.recover()
         yield from followed.kernel.sleep(
