--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -95,7 +95,7 @@
         self.compacted = self.revision
         self.history.clear()
 
-    def leave(self) -> None:
+    def go_down(self) -> None:
         """Makes the registry unreachable: connections are reset, new ones too."""
         self.faults.unreachable = True
         for stream in list(self.streams):
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -65,7 +65,7 @@
 
     def go_down(self) -> None:
         """Makes the registry unreachable."""
-        self.registry.leave()
+        self.registry.go_down()
 
     def recover(self) -> None:
         """Makes the registry reachable again."""
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -110,7 +110,7 @@
         for _ in range(25):
             fault = rng.choice(FAULTS)
             if fault == "leave":
-                registry.leave()
+                registry.go_down()
             elif fault == "doubled":
                 faults.duplicate_events = True
             elif fault == "cut":
@@ -202,7 +202,7 @@
         followed.put("x1")
         while followed.list.get("x1") != "ready":
             yield from kernel.sleep(10 * MS)
-        followed.registry.leave()
+        followed.registry.go_down()
         followed.put("x1", "draining")
         yield from kernel.sleep(200 * MS)
         followed.registry.recover()
