--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -206,7 +206,7 @@
     from peattrestle.rehearsal import play
     from peattrestle.rehearsal import report as reports
 
-    result = play.play(drawn.draw(seed), "virtual")
+    result = play.play(drawn.random_script(seed), "virtual")
     if report:
         reports.write(result, Path(report))
     click.echo(reports.table(result))
--- a/peattrestle/rehearsal/nights.py
+++ b/peattrestle/rehearsal/nights.py
@@ -27,7 +27,7 @@
 }
 
 
-def draw(seed: int) -> Script:
+def random_script(seed: int) -> Script:
     """The random script of a seed. Any change to the order of draws here changes every night."""
     rng = random.Random(f"night/{seed}")
     exchanges = rng.randint(3, 6)
@@ -94,7 +94,7 @@
 def play_night(seed: int) -> Night:
     """Plays the night of a seed; an exception counts as a fault."""
     try:
-        result = Player(draw(seed), "virtual").play()
+        result = Player(random_script(seed), "virtual").play()
     except Exception as error:
         return Night(seed, False, 0, {}, [repr(error)], "")
     # A short night may have nothing to examine for a rule; callers check the sum over all nights.
