--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -1,15 +1,15 @@
 """Follows the exchange list in a key-value registry (etcd) over HTTP.
 
-This module only does the I/O. `Follower` decides what to read and watch, and `Roll` which changes of the list
-take effect. There is one connection at a time; after a failure the next endpoint is tried, in an order that
-each agent shuffles for itself.
+This module only does the I/O. `Follower` decides what to read and watch, and `MembershipTracker` which
+changes of the list take effect. There is one connection at a time; after a failure the next endpoint is
+tried, in an order that each agent shuffles for itself.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from peattrestle.membership.exchange_list import MembershipUpdate, Roll
+from peattrestle.membership.exchange_list import MembershipTracker, MembershipUpdate
 from peattrestle.registry import etcd
 from peattrestle.registry.follower import (
     Action,
@@ -58,7 +58,7 @@
         self.kernel, self.on_update, self.log, self.count, self.label = kernel, on_update, log, count, label
         self.dial_timeout, self.answer_timeout, self.idle_timeout = dial_timeout, answer_timeout, idle_timeout
         self.prefix = prefix.encode()
-        self.follower, self.roll = Follower(min_retry_wait, max_retry_wait), Roll(self.prefix)
+        self.follower, self.roll = Follower(min_retry_wait, max_retry_wait), MembershipTracker(self.prefix)
         self.rng = kernel.random_for("registry")
         self.endpoints = list(endpoints)
         self.rng.shuffle(self.endpoints)
--- a/peattrestle/membership/exchange_list.py
+++ b/peattrestle/membership/exchange_list.py
@@ -58,7 +58,7 @@
     readmit_at: int = 0  # a ready exchange is not published as ready before this
 
 
-class Roll:
+class MembershipTracker:
     """Tracks the exchanges in the registry and returns the changes to publish.
 
     Times are nanoseconds of the caller's clock. `prefix` is the common prefix of the exchanges' keys.
--- a/tests/registry/test_exchange_list.py
+++ b/tests/registry/test_exchange_list.py
@@ -8,17 +8,17 @@
 import pytest
 
 from peattrestle.membership.entries import BadEntry, parse_entry
-from peattrestle.membership.exchange_list import MembershipUpdate, Roll
+from peattrestle.membership.exchange_list import MembershipTracker, MembershipUpdate
 
 SECOND = 1_000_000_000
 PREFIX = b"/hubs/"
 
 
 class PublishedList:
-    """Applies changes to a `Roll` and keeps the exchange list that results: number and state by name."""
+    """Applies changes to a tracker and keeps the exchange list that results: number and state by name."""
 
     def __init__(self) -> None:
-        self.roll = Roll(PREFIX)
+        self.roll = MembershipTracker(PREFIX)
         self.revision = 0
         self.list: dict[str, tuple[int, str]] = {}
 
