--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -58,7 +58,10 @@
         self.kernel, self.on_update, self.log, self.count, self.label = kernel, on_update, log, count, label
         self.dial_timeout, self.answer_timeout, self.idle_timeout = dial_timeout, answer_timeout, idle_timeout
         self.prefix = prefix.encode()
-        self.follower, self.roll = Follower(min_retry_wait, max_retry_wait), MembershipTracker(self.prefix)
+        self.follower, self.membership = (
+            Follower(min_retry_wait, max_retry_wait),
+            MembershipTracker(self.prefix),
+        )
         self.rng = kernel.random_for("registry")
         self.endpoints = list(endpoints)
         self.rng.shuffle(self.endpoints)
@@ -99,19 +102,21 @@
         return steps[-1]
 
     def apply_step(self, step: Action) -> None:
-        """Applies changes, or the confirmation that nothing has changed, to the roll."""
+        """Applies changes, or the confirmation that nothing has changed, to the membership."""
         now = self.kernel.now()
         if isinstance(step, ConfirmUnchanged):
-            self.roll.confirm(now)
+            self.membership.confirm(now)
         elif isinstance(step, Apply):
             if step.replaced_reason:
                 self.log("warning", "connected to another registry than before", why=step.replaced_reason)
             changes = [(change.key, change.value, change.created) for change in step.changes]
-            self.publish(self.roll.apply(now, changes), step.is_full_read and not self.initial_read_done)
+            self.publish(
+                self.membership.apply(now, changes), step.is_full_read and not self.initial_read_done
+            )
             self.initial_read_done |= step.is_full_read
 
     def publish(self, update: MembershipUpdate, is_full: bool) -> None:
-        """Logs the roll's warnings and passes on its changes, if any."""
+        """Logs the tracker's warnings and passes on its changes, if any."""
         for warning in update.log_messages:
             self.log("warning", warning, origin="registry")
         if update.members or is_full:
@@ -121,9 +126,9 @@
         """Publishes changes that come due with time: doubtful removals and delayed returns."""
         while True:
             yield from self.kernel.sleep(250_000_000)
-            due = self.roll.due()
+            due = self.membership.due()
             if 0 <= due <= self.kernel.now():
-                self.publish(self.roll.advance(self.kernel.now()), False)
+                self.publish(self.membership.advance(self.kernel.now()), False)
 
     def perform_remote_step(self, step: Action) -> Coroutine[list[Action]]:
         """Waits, reads or watches; returns the next steps.
--- a/tests/registry/test_exchange_list.py
+++ b/tests/registry/test_exchange_list.py
@@ -18,7 +18,7 @@
     """Applies changes to a tracker and keeps the exchange list that results: number and state by name."""
 
     def __init__(self) -> None:
-        self.roll = MembershipTracker(PREFIX)
+        self.membership = MembershipTracker(PREFIX)
         self.revision = 0
         self.list: dict[str, tuple[int, str]] = {}
 
@@ -31,10 +31,10 @@
                 None if value is None else value if isinstance(value, bytes) else json.dumps(value).encode()
             )
             changes.append((PREFIX + name.encode(), data, self.revision))
-        return self.record(self.roll.apply(round(seconds * SECOND), changes))
+        return self.record(self.membership.apply(round(seconds * SECOND), changes))
 
     def advance(self, seconds: float) -> MembershipUpdate:
-        return self.record(self.roll.advance(round(seconds * SECOND)))
+        return self.record(self.membership.advance(round(seconds * SECOND)))
 
     def record(self, update: MembershipUpdate) -> MembershipUpdate:
         for member in update.members:
@@ -176,7 +176,7 @@
             exchange_list.advance(now)
         delays.append(now - returned_at)
     assert delays[:4] == [0, 1, 2, 4] and max(delays) == 60 and delays == sorted(delays)
-    assert exchange_list.roll.due() == -1
+    assert exchange_list.membership.due() == -1
     exchange_list.apply(now + 200, x1=None)
     exchange_list.apply(now + 300, x1={"number": 1})
     assert exchange_list.states()["x1"] == "ready"  # a return after a long absence is no flap
@@ -187,26 +187,26 @@
     exchange_list.apply(0, **ready_exchanges(2))
     put = b'{"number": 1, "address": "127.0.0.1:9"}'
     key = PREFIX + b"x1"
-    exchange_list.record(exchange_list.roll.apply(SECOND, [(key, None, 0), (key, put, 9)]))
+    exchange_list.record(exchange_list.membership.apply(SECOND, [(key, None, 0), (key, put, 9)]))
     assert exchange_list.states()["x1"] == "ready"
-    exchange_list.record(exchange_list.roll.apply(SECOND, [(key, put, 9), (key, None, 0)]))
+    exchange_list.record(exchange_list.membership.apply(SECOND, [(key, put, 9), (key, None, 0)]))
     assert exchange_list.states()["x1"] == "gone"
 
 
 def test_removed_exchanges_are_forgotten_and_the_last_confirmation_is_recorded() -> None:
     exchange_list = PublishedList()
-    assert exchange_list.roll.confirmed_at == -1
+    assert exchange_list.membership.confirmed_at == -1
     exchange_list.apply(0, **ready_exchanges(4))
-    exchange_list.roll.confirm(7 * SECOND)
-    assert exchange_list.roll.confirmed_at == 7 * SECOND
+    exchange_list.membership.confirm(7 * SECOND)
+    assert exchange_list.membership.confirmed_at == 7 * SECOND
     exchange_list.apply(8, x1=None)
     exchange_list.advance(8 + 61)
-    assert set(exchange_list.roll.exchanges) == {"x0", "x2", "x3"}
+    assert set(exchange_list.membership.exchanges) == {"x0", "x2", "x3"}
 
 
 def test_exchanges_above_the_limit_are_ignored_and_logged() -> None:
     exchange_list = PublishedList()
-    exchange_list.roll.MAX_EXCHANGES = 4
+    exchange_list.membership.MAX_EXCHANGES = 4
     update = exchange_list.apply(0, **ready_exchanges(6))
     assert set(exchange_list.states()) == {"x0", "x1", "x2", "x3"} and len(update.log_messages) == 2
     exchange_list.apply(1, x3={"number": 3, "state": "draining"})
