--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -126,7 +126,7 @@
         """Publishes changes that come due with time: doubtful removals and delayed returns."""
         while True:
             yield from self.kernel.sleep(250_000_000)
-            due = self.membership.due()
+            due = self.membership.next_due_at()
             if 0 <= due <= self.kernel.now():
                 self.publish(self.membership.advance(self.kernel.now()), False)
 
--- a/peattrestle/membership/exchange_list.py
+++ b/peattrestle/membership/exchange_list.py
@@ -234,7 +234,7 @@
                 )
         return owners
 
-    def due(self) -> int:
+    def next_due_at(self) -> int:
         """When `advance` must be called even without a change; -1 if nothing is pending."""
         times = [
             exchange.doubtful_since + self.REMOVAL_CONFIRMATION_NS
--- a/tests/registry/test_exchange_list.py
+++ b/tests/registry/test_exchange_list.py
@@ -176,7 +176,7 @@
             exchange_list.advance(now)
         delays.append(now - returned_at)
     assert delays[:4] == [0, 1, 2, 4] and max(delays) == 60 and delays == sorted(delays)
-    assert exchange_list.membership.due() == -1
+    assert exchange_list.membership.next_due_at() == -1
     exchange_list.apply(now + 200, x1=None)
     exchange_list.apply(now + 300, x1={"number": 1})
     assert exchange_list.states()["x1"] == "ready"  # a return after a long absence is no flap
