--- a/peattrestle/rehearsal/script.py
+++ b/peattrestle/rehearsal/script.py
@@ -163,7 +163,7 @@
     callers: Callers = schema.block(Callers, "behaviour of callers")
     rules: Rules = schema.block(Rules, "parameters of the rules")
     must: Must = schema.block(Must, "what must hold beside the rules")
-    bearer: tuple[Bearer, ...] = schema.blocks(Bearer, "bearer types", least=1)
+    bearer: tuple[Bearer, ...] = schema.blocks(Bearer, "bearer types", min_count=1)
     load: tuple[Load, ...] = schema.blocks(Load, "the load curve")
     trouble: tuple[Trouble, ...] = schema.blocks(Trouble, "what goes wrong")
 
--- a/peattrestle/settings/agent.py
+++ b/peattrestle/settings/agent.py
@@ -175,14 +175,14 @@
     limits: Limits = schema.block(Limits, "upper bounds")
     links: Links = schema.block(Links, "links to exchanges")
     registry: Registry = schema.block(Registry, "the key-value registry that has the exchange list")
-    bearer: tuple[Bearer, ...] = schema.blocks(Bearer, "at least one bearer type", least=1)
+    bearer: tuple[Bearer, ...] = schema.blocks(Bearer, "at least one bearer type", min_count=1)
 
 
 @dataclass(frozen=True, kw_only=True)
 class File:
     """The top level of a settings file."""
 
-    agent: tuple[Agent, ...] = schema.blocks(Agent, "exactly one agent", least=1)
+    agent: tuple[Agent, ...] = schema.blocks(Agent, "exactly one agent", min_count=1)
 
 
 def load(path: str) -> tuple[Agent | None, list[Fault]]:
--- a/peattrestle/settings/schema.py
+++ b/peattrestle/settings/schema.py
@@ -127,9 +127,12 @@
     return field(default_factory=cls, metadata={"inner": InnerBlock(cls, False, description)})
 
 
-def blocks(cls: type, description: str, least: int = 0) -> Any:
-    """Declares at least `least` blocks of this class, each with a label, which becomes the field `label`."""
-    return field(default=(), metadata={"inner": InnerBlock(cls, True, description, least)})
+def blocks(cls: type, description: str, min_count: int = 0) -> Any:
+    """Declares at least `min_count` blocks of this class.
+
+    Each has a label, which becomes the field `label`.
+    """
+    return field(default=(), metadata={"inner": InnerBlock(cls, True, description, min_count)})
 
 
 def format_duration(value: float) -> str:
