--- a/benchmarks/agent_load.py
+++ b/benchmarks/agent_load.py
@@ -157,7 +157,7 @@
                         self.established += 1
                         self.delays.record_value(max(1, (self.kernel.now() - at) // 1000))
                         if self.holding_time >= 0:
-                            self.kernel.at(
+                            self.kernel.call_at(
                                 self.kernel.now() + self.holding_time,
                                 partial(self.release, session, termination),
                             )
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -129,7 +129,7 @@
         if now + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
                 call.tries += 1
-            self.kernel.at(now + wait, lambda: None if self.is_closing else self.dial(call, call.cut))
+            self.kernel.call_at(now + wait, lambda: None if self.is_closing else self.dial(call, call.cut))
 
     callers.Gateway.redial = back_off  # type: ignore[method-assign]
 
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -270,7 +270,7 @@
             call.attempt = self.retry_detector.classify(now, retry_key, request.repeat, request.cut_before)
             self.storms.detector.count_call(now, call.attempt, requester.name)
         requester.calls[request.termination] = call
-        call.pending_timer = self.kernel.at(
+        call.pending_timer = self.kernel.call_at(
             now + self.settings.limits.pending_after, lambda: self.send_pending(call)
         )
         via = request.origin if transit else request.via
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -126,7 +126,7 @@
             self.mid, self.transactions, stream.write, self.settings.limits.message
         )
         hello_id = session.request("hello", self.hello_text)
-        self.kernel.at(
+        self.kernel.call_at(
             self.kernel.now() + self.settings.links.release_repeat,
             lambda: self.resend_hello(session, hello_id),
         )
@@ -175,7 +175,7 @@
         if self.session is session and self.transactions.open.get(transaction_id) == "hello":
             session.send(self.hello_text(transaction_id))
             resend_at = self.kernel.now() + self.settings.links.release_repeat
-            self.kernel.at(resend_at, lambda: self.resend_hello(session, transaction_id))
+            self.kernel.call_at(resend_at, lambda: self.resend_hello(session, transaction_id))
 
     def keep_alive(self, stream: Stream) -> Coroutine[None]:
         """Audits an idle connection every `keepalive`, and aborts it after two audits without an answer.
@@ -265,7 +265,7 @@
             self.settings.links.release_repeat << min(release.attempts, 10), MAX_RELEASE_REPEAT_INTERVAL
         )
         release.attempts += 1
-        release.timer = self.kernel.at(self.kernel.now() + wait, lambda: self.resend_release(release))
+        release.timer = self.kernel.call_at(self.kernel.now() + wait, lambda: self.resend_release(release))
 
     def resend_release(self, release: Release) -> None:
         """Sends a release again that has had no reply."""
@@ -287,7 +287,7 @@
             wait = min(
                 self.settings.links.release_repeat << min(release.attempts, 10), MAX_RELEASE_REPEAT_INTERVAL
             )
-            self.kernel.at(self.kernel.now() + wait, lambda: self.send_release(release))
+            self.kernel.call_at(self.kernel.now() + wait, lambda: self.send_release(release))
 
     def queue_release(self, release: Release) -> None:
         """Keeps a release for the next connection; drops the oldest one when the queue is full."""
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -187,7 +187,7 @@
                 case api.Abort(call_id):
                     self.answer_by_id(call_id, FinalAnswer(FAILED))
                 case api.SetTimer(at, token):
-                    self.kernel.at(at, lambda token=token: self.post(api.TimerDue(token)))  # type: ignore[misc]
+                    self.kernel.call_at(at, lambda token=token: self.post(api.TimerDue(token)))  # type: ignore[misc]
                 case api.Log(text):
                     self.log("info", text, origin="module")
                 case api.FollowList():
@@ -225,7 +225,7 @@
                 **fields,
             )
         self.guard.on_call_arrived(call.id, call.abandon_at)
-        call.answer_timer = self.kernel.at(
+        call.answer_timer = self.kernel.call_at(
             call.abandon_at - self.answer_margin // 2, lambda: self.on_answer_overdue(call)
         )
         self.post(arrived)
@@ -343,7 +343,7 @@
         if self.tracing:
             self.log_try("set-up", launched, patience_ms=action.patience // 1_000_000)
         call.pending_try = launched
-        launched.timer = self.kernel.at(now + action.patience, lambda: self.on_try_timeout(launched))
+        launched.timer = self.kernel.call_at(now + action.patience, lambda: self.on_try_timeout(launched))
 
     def on_try_timeout(self, route_try: TryT) -> None:
         """Ends a try that the exchange has not responded to in time."""
--- a/peattrestle/platform/connections.py
+++ b/peattrestle/platform/connections.py
@@ -227,7 +227,7 @@
         self.remove(caller, caller.close_reason)
         self.lingering[caller] = None
         caller.stream.close_write()
-        self.kernel.at(self.kernel.now() + LINGER_TIME, caller.stream.close)
+        self.kernel.call_at(self.kernel.now() + LINGER_TIME, caller.stream.close)
 
     def remove(self, caller: Caller, why: str) -> None:
         """Removes a connection; its open calls need no answer any more."""
--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -164,7 +164,7 @@
             if self.stream is stream and self.probed_at == probed_at:
                 stream.abort()
 
-        self.kernel.at(probed_at + timeout, check_probe)
+        self.kernel.call_at(probed_at + timeout, check_probe)
 
     def watch_silence(self, stream: Stream) -> Coroutine[None]:
         """Probes a quiet connection, since a vanished host or a dropped flow produces no TCP error."""
--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -137,7 +137,7 @@
         kernel.spawn(self.sampler.run(), "sampler")
         self.report_progress(f"{script.fleet.exchanges} agents ready")
         for step in script.load:
-            kernel.at(started + step.at, lambda step=step: self.set_level(step.level))  # type: ignore[misc]
+            kernel.call_at(started + step.at, lambda step=step: self.set_level(step.level))  # type: ignore[misc]
         world.set_rates()
         self.troubles.schedule(script.trouble, started)
         arrivals = [
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -37,7 +37,7 @@
     def schedule(self, troubles: tuple[Trouble, ...], started: int) -> None:
         """Schedules `troubles`, whose times count from `started`."""
         for trouble in troubles:
-            self.kernel.at(started + trouble.at, lambda trouble=trouble: self.begin(trouble))  # type: ignore[misc]
+            self.kernel.call_at(started + trouble.at, lambda trouble=trouble: self.begin(trouble))  # type: ignore[misc]
 
     def exchange_numbers(self, trouble: Trouble) -> list[int]:
         """The numbers of the exchanges concerned: those named, or a random share of all."""
@@ -51,7 +51,7 @@
         self.begun[trouble.kind] = self.begun.get(trouble.kind, 0) + 1
         end = getattr(self, f"begin_{trouble.kind}")(trouble)
         if end is not None:
-            self.kernel.at(self.kernel.now() + trouble.length, end)
+            self.kernel.call_at(self.kernel.now() + trouble.length, end)
 
     def _exchanges(self, trouble: Trouble) -> list[SimulatedExchange]:
         return [self.world.network.exchanges[number] for number in self.exchange_numbers(trouble)]
@@ -106,7 +106,7 @@
                 for exchange in exchanges:
                     exchange.processor.slowdown *= 1.25
 
-            self.kernel.at(self.kernel.now() + trouble.length * step // steps, slow_down)
+            self.kernel.call_at(self.kernel.now() + trouble.length * step // steps, slow_down)
 
         def crash_and_restart() -> None:
             for exchange in exchanges:
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -332,7 +332,9 @@
         if error_code == errno.EINPROGRESS:
             waiter = Waiter(self)
             handle = Handle(self, sock, waiter.set)
-            timer = self.at(self.now() + timeout, lambda: waiter.fail(ConnectFailed(f"{address}: no answer")))
+            timer = self.call_at(
+                self.now() + timeout, lambda: waiter.fail(ConnectFailed(f"{address}: no answer"))
+            )
             try:
                 handle.set_mask(WRITABLE)
                 yield waiter
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -365,8 +365,8 @@
         if self.on_crash is not None:
             self.on_crash(task.name, error)
 
-    def at(self, at: int, action: Callable[[], None]) -> Timer:
-        """Calls `action` in the first turn at or after `at`; equal times in the order of scheduling."""
+    def call_at(self, at: int, action: Callable[[], None]) -> Timer:
+        """Calls `action` in the first turn at or after `call_at`; equal times in the order of scheduling."""
         timer = Timer(self, at, action)
         self._timer_sequence += 1
         heapq.heappush(self._heap, (at, self._timer_sequence, timer))
@@ -387,7 +387,7 @@
     def sleep(self, length: int) -> Coroutine[None]:
         """Waits for `length` nanoseconds."""
         waiter = Waiter(self)
-        timer = self.at(self.now() + length, waiter.set)
+        timer = self.call_at(self.now() + length, waiter.set)
         try:
             yield waiter
         finally:
@@ -399,7 +399,7 @@
         Raises `TimedOut` once the time has passed and the cancelled coroutine has ended.
         """
         task = self.spawn(body, name, report_errors=False)
-        timer = self.at(self.now() + length, task.cancel)
+        timer = self.call_at(self.now() + length, task.cancel)
         try:
             result = yield from task.join()
         except Cancelled:
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -103,18 +103,18 @@
                 return
             if self.kernel.network.cut(self.source, self.peer):
                 self._last_arrival = self.kernel.now() + self.kernel.network.cut_check_interval
-                self.kernel.at(self._last_arrival, arrive)
+                self.kernel.call_at(self._last_arrival, arrive)
             else:
                 action()
 
-        self.kernel.at(arrival, arrive)
+        self.kernel.call_at(arrival, arrive)
 
     def _deliver(self, segment: bytes) -> None:
         other = self.other
         self._in_flight -= len(segment)
         if other._closed:
             # As with TCP, bytes sent to a closed socket are answered with a reset.
-            self.kernel.at(self.kernel.now() + self.delay, lambda: self._reset("peer closed"))
+            self.kernel.call_at(self.kernel.now() + self.delay, lambda: self._reset("peer closed"))
             return
         other._received.append(segment)
         other._unread += len(segment)
@@ -202,7 +202,7 @@
     def abort(self) -> None:
         if not self._closed:
             other = self.other
-            self.kernel.at(self.kernel.now() + self.delay, lambda: other._reset("reset by peer"))
+            self.kernel.call_at(self.kernel.now() + self.delay, lambda: other._reset("reset by peer"))
             self._shut("aborted locally")
 
 
@@ -328,12 +328,12 @@
     def now(self) -> int:
         return self.parent.now()
 
-    def at(self, at: int, action: Callable[[], None]) -> Timer:
+    def call_at(self, at: int, action: Callable[[], None]) -> Timer:
         def fire_if_alive() -> None:
             if self.alive:
                 action()
 
-        return self.parent.at(at, fire_if_alive)
+        return self.parent.call_at(at, fire_if_alive)
 
     def at_turn_end(self, action: Callable[[], None]) -> None:
         def act_if_alive() -> None:
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -252,7 +252,7 @@
     def register_later(self, session: Session, wait: int) -> None:
         """Registers again after `wait`, as the agent demanded, if the connection is still the same."""
         self.count("restarts_held_back")
-        self.kernel.at(
+        self.kernel.call_at(
             self.kernel.now() + wait,
             lambda: self.send_registration(session) if self.session is session else None,
         )
@@ -385,7 +385,7 @@
         )
         self.attempts[termination] = attempt
         if behaviour.repeats and self.draw.random() < behaviour.repeats:
-            self.kernel.at(now + 50 * MS, lambda: self.resend(attempt, request))
+            self.kernel.call_at(now + 50 * MS, lambda: self.resend(attempt, request))
         self.terminations[attempt.transaction_id] = termination
         if len(self.terminations) > 20_000:
             del self.terminations[next(iter(self.terminations))]
@@ -393,7 +393,7 @@
         self.record.add(
             now, "asked", self.name, self.agent, termination, request.reference, value=now + abandon_after
         )
-        attempt.timer = self.kernel.at(now + give_up_after, lambda: self.abandon(attempt))
+        attempt.timer = self.kernel.call_at(now + give_up_after, lambda: self.abandon(attempt))
 
     def max_bucket_level(self, call: CallerCall) -> float:
         """How full the bucket may be for this call: late calls may not use the burst allowance."""
@@ -452,7 +452,7 @@
             call.established_at = now
         call.reestablished = call.cut
         duration = round(self.draw.expovariate(1 / self.bearer(call).holding))
-        attempt.timer = self.kernel.at(now + duration, lambda: self.hang_up(attempt))
+        attempt.timer = self.kernel.call_at(now + duration, lambda: self.hang_up(attempt))
 
     def abandon(self, attempt: Attempt) -> None:
         """Gives up an attempt that has not been answered."""
@@ -511,7 +511,9 @@
         self.finish(attempt)
         call.cut, call.reestablished, call.tries = True, False, 0
         wait = self.draw.randint(behaviour.return_least, behaviour.return_most)
-        self.kernel.at(self.kernel.now() + wait, lambda: None if self.is_closing else self.dial(call, True))
+        self.kernel.call_at(
+            self.kernel.now() + wait, lambda: None if self.is_closing else self.dial(call, True)
+        )
 
     def redial(self, call: CallerCall, retry_after: int) -> None:
         """Schedules the caller's next attempt, unless the caller gives up first.
@@ -527,7 +529,7 @@
         if self.kernel.now() + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
                 call.tries += 1  # an attempt without a connection counts too, so that they come to an end
-            self.kernel.at(
+            self.kernel.call_at(
                 self.kernel.now() + wait, lambda: None if self.is_closing else self.dial(call, call.cut)
             )
 
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -146,14 +146,14 @@
             index = exchange.draw.randrange(4, len(data))
             data = data[:index] + bytes([exchange.draw.choice(b'{}"=,\x00\xff')]) + data[index + 1 :]
         if socket_faults.late_replies and b"Reply=" in data:
-            exchange.kernel.at(
+            exchange.kernel.call_at(
                 exchange.kernel.now() + socket_faults.late_replies, lambda: self.stream.write(data)
             )
         elif socket_faults.single_bytes or self.write_until > exchange.kernel.now():
             send_at = max(self.write_until, exchange.kernel.now())
             for offset in range(len(data)):
                 send_at += 20_000
-                exchange.kernel.at(send_at, partial(self.stream.write, data[offset : offset + 1]))
+                exchange.kernel.call_at(send_at, partial(self.stream.write, data[offset : offset + 1]))
             self.write_until = send_at  # later messages must not overtake these bytes
         else:
             self.stream.write(data)
@@ -162,7 +162,7 @@
             and b"Reply=" in data
             and exchange.draw.random() < socket_faults.double_replies
         ):
-            exchange.kernel.at(exchange.kernel.now() + 30_000_000, lambda: self.stream.write(data))
+            exchange.kernel.call_at(exchange.kernel.now() + 30_000_000, lambda: self.stream.write(data))
 
     def flush(self) -> None:
         """Sends what was held back while a region was cut off."""
@@ -620,7 +620,7 @@
         if peer.connection is not None and peer.transactions.open.get(transaction_id) == termination:
             peer.connection.session.send(package.subtract_text(transaction_id, "*", termination))
             repeat_at = self.kernel.now() + 1_000_000_000
-            self.kernel.at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
+            self.kernel.call_at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
 
     def send_release(self, peer: AgentPeer, termination: str) -> None:
         """Sends a release to the own agent and repeats it until it is answered."""
@@ -629,7 +629,7 @@
                 termination, lambda transaction_id: package.subtract_text(transaction_id, "*", termination)
             )
             repeat_at = self.kernel.now() + 1_000_000_000
-            self.kernel.at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
+            self.kernel.call_at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
 
     def handle_release_reply(self, peer: AgentPeer, termination: str, code: int) -> None:
         """Handles the reply to a release: once confirmed, no further answer to that call is valid."""
--- a/peattrestle/standin/exchange_network.py
+++ b/peattrestle/standin/exchange_network.py
@@ -104,7 +104,7 @@
         self.changed_groups.append(group.ends)
         if not self._report_scheduled:
             self._report_scheduled = True
-            self.kernel.at(self.kernel.now() + 20_000_000, self.report_changes)
+            self.kernel.call_at(self.kernel.now() + 20_000_000, self.report_changes)
 
     def report_changes(self) -> None:
         """Each exchange reports the groups changed since the last report to its own agent, in one go."""
--- a/peattrestle/standin/list_source.py
+++ b/peattrestle/standin/list_source.py
@@ -89,7 +89,7 @@
                 if stream is not None and self.available:
                     self.send(name, stream, "delta", [exchange.name])
 
-            self.kernel.at(self.kernel.now() + delay, send_change)
+            self.kernel.call_at(self.kernel.now() + delay, send_change)
 
     def go_down(self) -> None:
         """Makes the list unreachable: connections end, and new ones are closed at once."""
--- a/peattrestle/standin/processor.py
+++ b/peattrestle/standin/processor.py
@@ -153,7 +153,7 @@
                 done()
             self._next()
 
-        self.kernel.at(self.kernel.now() + duration, finished)
+        self.kernel.call_at(self.kernel.now() + duration, finished)
 
     def resume(self) -> None:
         """Resumes work after silence that did not end in a restart."""
--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -193,7 +193,7 @@
         if 0 <= limit < len(data):
             self.faults.reset_after_bytes = -1
             stream.write(data[:limit])
-            self.kernel.at(self.kernel.now() + 5 * MS, stream.abort)
+            self.kernel.call_at(self.kernel.now() + 5 * MS, stream.abort)
         else:
             self.faults.reset_after_bytes = limit - len(data) if limit >= 0 else limit
             stream.write(data)
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -38,7 +38,7 @@
         write_at = self._last_change[exchange.name] = max(
             write_at, self._last_change.get(exchange.name, 0) + 1
         )
-        self.kernel.at(write_at, lambda: self.write(exchange, state))
+        self.kernel.call_at(write_at, lambda: self.write(exchange, state))
 
     def write(self, exchange: SimulatedExchange, state: str) -> None:
         """Writes the state of an exchange to the registry."""
--- a/peattrestle/trials/caller.py
+++ b/peattrestle/trials/caller.py
@@ -181,7 +181,7 @@
             request.sent_at = self.kernel.now()
         if self.rng.random() < self.behaviour.abandon_share:
             wait = self.rng.randint(0, max(1, answer_timeout // 4))
-            self.kernel.at(self.kernel.now() + wait, lambda: self.abandon(driver, request))
+            self.kernel.call_at(self.kernel.now() + wait, lambda: self.abandon(driver, request))
         return request
 
     def abandon(self, driver: CallerConnectionDriver, request: Request) -> None:
@@ -222,7 +222,7 @@
         driver.send(bodyless_request("ACK", request.call_id))
         if self.rng.random() < 0.5:
             wait = round(self.deployment.holding_time * self.rng.random())
-            self.kernel.at(self.kernel.now() + wait, lambda: self.release_call(request))
+            self.kernel.call_at(self.kernel.now() + wait, lambda: self.release_call(request))
 
     def release_call(self, request: Request) -> None:
         """Releases an established call on any connection of the group."""
--- a/peattrestle/trials/feed.py
+++ b/peattrestle/trials/feed.py
@@ -176,6 +176,6 @@
         self.close_listeners()
         for stream in list(self.subscribers):
             self.subscribers.pop(stream)
-            self.kernel.at(self.kernel.now() + 1_500 * MS, stream.close)
+            self.kernel.call_at(self.kernel.now() + 1_500 * MS, stream.close)
         self.address_index = (self.address_index + 1) % self.address_count
         self.open()
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -401,7 +401,9 @@
         exchange.send(stream, verb="PENDING", tag=line.tag)
         exchange.send(stream, verb="FINISH", tag="ffffffffffffffff", rc=16)
         if late:
-            harness.kernel.at(harness.kernel.now() + 2 * SECOND, lambda: exchange.answer_call(stream, line))
+            harness.kernel.call_at(
+                harness.kernel.now() + 2 * SECOND, lambda: exchange.answer_call(stream, line)
+            )
         else:
             exchange.answer_call(stream, line)
             exchange.answer_call(stream, line)
@@ -494,7 +496,7 @@
     if errors_continue:  # seen on the platform: invalid set-ups get errors while the host is down
         exchange.silent = True
         for ms in range(0, 8000, 300):
-            harness.kernel.at(
+            harness.kernel.call_at(
                 harness.kernel.now() + ms * MS,
                 lambda: exchange.send(exchange.streams[-1], verb="FINISH", tag="00000000000000bb", rc=47),
             )
@@ -714,7 +716,7 @@
                 exchange.send(stream, verb="LOAD", opts={"load": LOAD})
 
     for number in range(70):
-        harness.kernel.at(harness.kernel.now() + number * 20 * MS, send_reports)
+        harness.kernel.call_at(harness.kernel.now() + number * 20 * MS, send_reports)
     harness.advance(600)
     exchange.silent_streams = exchange.streams[:silent_count]
     exchange.on_set_up = (
--- a/tests/platform/test_log.py
+++ b/tests/platform/test_log.py
@@ -18,7 +18,7 @@
     for number in range(log.MAX_DEBUG_LINES + 5):
         logger("debug", "final answer", reference=f"{number:016x}")
     logger("warning", "connection lost")
-    kernel.at(kernel.now() + SECOND, lambda: None)
+    kernel.call_at(kernel.now() + SECOND, lambda: None)
     kernel.run(kernel.now() + SECOND)
     logger("debug", "final answer")
     written = [json.loads(line) for line in output.getvalue().splitlines()]
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -211,7 +211,7 @@
         kernel.stop()
 
     kernel.spawn(body(), "test")
-    kernel.at(kernel.now() + 20 * SECOND, kernel.stop)
+    kernel.call_at(kernel.now() + 20 * SECOND, kernel.stop)
     kernel.run()
     kernel.close()
     assert followed.list == {"x1": "draining"} and kernel.crashes == []
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -59,7 +59,9 @@
 
     def answer(self, call: Any, final: FinalAnswer) -> None:
         if self.fault == "late" and final.kind == ANSWERED and call.id % 5 == 0:
-            self.kernel.at(call.abandon_at + 200 * MS, lambda: super(FaultyAgent, self).answer(call, final))
+            self.kernel.call_at(
+                call.abandon_at + 200 * MS, lambda: super(FaultyAgent, self).answer(call, final)
+            )
             return
         if self.fault == "never" and call.id % 5 == 0:
             if call.answer_timer is not None:
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -76,9 +76,9 @@
     def body() -> Coroutine[None]:
         at = kernel.now() + 2 * MS
         for name in "abc":
-            kernel.at(at, lambda name=name: seen.append(name))  # type: ignore[misc]
-        kernel.at(at - MS, lambda: seen.append("first"))
-        kernel.at(at, lambda: seen.append("never")).cancel()
+            kernel.call_at(at, lambda name=name: seen.append(name))  # type: ignore[misc]
+        kernel.call_at(at - MS, lambda: seen.append("first"))
+        kernel.call_at(at, lambda: seen.append("never")).cancel()
         kernel.at_turn_end(lambda: seen.append("turn"))
         yield from kernel.sleep(10 * MS)
 
@@ -91,7 +91,7 @@
 
     def body() -> Coroutine[None]:
         at = kernel.now() + 300 * MS
-        timers = [kernel.at(at + n, partial(fired.append, n)) for n in range(50_000)]
+        timers = [kernel.call_at(at + n, partial(fired.append, n)) for n in range(50_000)]
         for number, timer in enumerate(timers):
             if number % 50:
                 timer.cancel()
@@ -346,13 +346,13 @@
 
     def child() -> Coroutine[None]:
         listener = process.listen("127.0.0.1:7000")
-        process.at(process.now() + 50 * MS, lambda: seen.append("timer"))
+        process.call_at(process.now() + 50 * MS, lambda: seen.append("timer"))
         stream = yield from listener.accept()
         try:
             yield from stream.read()
         finally:
             stream.write(b"last words")
-            process.at(process.now(), lambda: seen.append("last timer"))
+            process.call_at(process.now(), lambda: seen.append("last timer"))
 
     def body() -> Coroutine[None]:
         process.spawn(child(), "child")
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -41,7 +41,7 @@
                     continue
                 reply_items = services(message)
                 if "ptl/wai" in reply_items:
-                    harness.kernel.at(
+                    harness.kernel.call_at(
                         harness.kernel.now() + int(reply_items["ptl/wai"]),
                         lambda: restart_again(session),
                     )
