--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -4,7 +4,7 @@
 once (return), or many gateways reconnect together (reconnect). Decided here, with the algorithms of the
 package `peattrestle.storms`:
 
-- whether a storm has started or ended, each logged with its evidence and counted (`Watch`);
+- whether a storm has started or ended, each logged with its evidence and counted (`StormDetector`);
 - whether a gateway's call is admitted or exceeds the gateway's fair share (`GatewayAdmission`);
 - which gateways are sent a notice of the rate that they may offer, and when it is renewed or lifted
   (`Notices`);
