--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -262,7 +262,7 @@
             now,
             now + request.patience,
             requester=requester,
-            transaction=transaction_id,
+            transaction_id=transaction_id,
             request=request,
         )
         if not transit:
@@ -299,7 +299,7 @@
     def send_pending(self, call: Call) -> None:
         """Sends H.248's Pending, once for each call, where the final answer takes longer."""
         if call.state == OPEN and call.requester.session is not None:
-            call.requester.session.send(f"Pending={call.transaction}{{}}")
+            call.requester.session.send(f"Pending={call.transaction_id}{{}}")
 
     def handle_subtract(
         self, requester: Requester, transaction_id: int, action: Action, command: Command
@@ -337,9 +337,9 @@
         """
         super().caller_left(call)
         call.requester.transactions.answer(
-            call.transaction,
+            call.transaction_id,
             package.outcome_text(
-                call.transaction, call.request.termination, Outcome(package.FAILED, text="the caller left")
+                call.transaction_id, call.request.termination, Outcome(package.FAILED, text="the caller left")
             ),
         )
 
@@ -398,7 +398,7 @@
     def release_try(self, route_try: RouteTry, tell: bool) -> None:
         """Forgets a route try; `tell`: the exchange is sent a Subtract, as it may hold a circuit for it."""
         if route_try.state == "out":
-            route_try.link.transactions.close(route_try.transaction)
+            route_try.link.transactions.close(route_try.transaction_id)
         self.terminations.pop(route_try.termination, None)
         if tell:
             route_try.link.release(route_try.context, route_try.termination, route_try.call.id)
@@ -413,8 +413,8 @@
         elif call.requester is not self.own_exchange and not call.over_share:
             self.storms.admission.count_refused(self.kernel.now())
         call.requester.reply(
-            call.transaction,
-            package.outcome_text(call.transaction, call.request.termination, self.to_outcome(call, final)),
+            call.transaction_id,
+            package.outcome_text(call.transaction_id, call.request.termination, self.to_outcome(call, final)),
         )
 
     def on_answer_refused(self, call: Call) -> bool:
@@ -422,10 +422,11 @@
 
         False where it had been answered already.
         """
-        if not call.requester.transactions.is_unanswered(call.transaction):
+        if not call.requester.transactions.is_unanswered(call.transaction_id):
             return False
         call.requester.transactions.answer(
-            call.transaction, package.outcome_text(call.transaction, call.request.termination, INTERNAL_ERROR)
+            call.transaction_id,
+            package.outcome_text(call.transaction_id, call.request.termination, INTERNAL_ERROR),
         )
         return True
 
--- a/peattrestle/agent/calls.py
+++ b/peattrestle/agent/calls.py
@@ -19,25 +19,25 @@
 class RouteTry(core.RouteTry):
     """A set-up sent to an exchange.
 
-    `transaction` is the id of the request, open until its reply. `context` is the exchange's context of the
-    call, `*` until the reply has it.
+    `transaction_id` is the id of the request, open until its reply. `context` is the exchange's context of
+    the call, `*` until the reply has it.
     """
 
     link: Link
     termination: str
-    transaction: int = 0
+    transaction_id: int = 0
     context: str = "*"
 
 
 @dataclass(slots=True, kw_only=True)
 class Call(core.Call[RouteTry]):
-    """A call requested by `requester`; the reply to `transaction` is the call's one final answer.
+    """A call requested by `requester`; the reply to `transaction_id` is the call's one final answer.
 
     `pending_timer` sends H.248's Pending where the answer takes longer.
     """
 
     requester: Requester
-    transaction: int
+    transaction_id: int
     request: SetUpRequest
     pending_timer: Timer | None = None
     over_share: bool = False  # not admitted: its gateway is over its share
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -42,17 +42,18 @@
 class Release:
     """A Subtract that is sent again until it has a reply, over a new connection if need be.
 
-    `transaction` is the id of its open request; `attempts` counts the times it was sent over this connection.
+    `transaction_id` is the id of its open request; `attempts` counts the times it was sent over this
+    connection.
     """
 
-    __slots__ = ("context", "termination", "call", "exchange", "attempts", "timer", "transaction")
+    __slots__ = ("context", "termination", "call", "exchange", "attempts", "timer", "transaction_id")
 
     def __init__(self, context: str, termination: str, call: int, exchange: str) -> None:
         self.context, self.termination = context, termination
         self.call, self.exchange = call, exchange
         self.attempts = 0
         self.timer: Timer | None = None
-        self.transaction = 0
+        self.transaction_id = 0
 
 
 class Link:
@@ -226,7 +227,7 @@
             self.connect_requested.set()
             return False
         try:
-            route_try.transaction = self.session.request(
+            route_try.transaction_id = self.session.request(
                 route_try, lambda transaction_id: package.add_text(transaction_id, request)
             )
         except TooManyOpenRequests:
@@ -243,7 +244,7 @@
             self.queue_release(release)
             return
         try:
-            release.transaction = self.session.request(
+            release.transaction_id = self.session.request(
                 release,
                 lambda transaction_id: package.subtract_text(
                     transaction_id, release.context, release.termination
@@ -252,7 +253,7 @@
         except TooManyOpenRequests:
             self.queue_release(release)
             return
-        self.releases[release.transaction] = release
+        self.releases[release.transaction_id] = release
         self.schedule_resend(release)
 
     def schedule_resend(self, release: Release) -> None:
@@ -269,9 +270,9 @@
 
     def resend_release(self, release: Release) -> None:
         """Sends a release again that has had no reply."""
-        if self.session is None or release.transaction not in self.releases:
+        if self.session is None or release.transaction_id not in self.releases:
             return
-        self.session.send(package.subtract_text(release.transaction, release.context, release.termination))
+        self.session.send(package.subtract_text(release.transaction_id, release.context, release.termination))
         self.schedule_resend(release)
 
     def on_release_reply(self, release: Release, code: int) -> None:
@@ -282,7 +283,7 @@
         """
         if release.timer is not None:
             release.timer.cancel()
-        self.releases.pop(release.transaction, None)
+        self.releases.pop(release.transaction_id, None)
         if code not in (0, package.UNKNOWN_TERMINATION, package.UNKNOWN_CONTEXT):
             wait = min(
                 self.settings.links.release_repeat << min(release.attempts, 10), MAX_RELEASE_REPEAT_INTERVAL
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -73,7 +73,7 @@
                 super().answer(call, final)
             elif call.requester.session is not None:
                 outcome = self.to_outcome(call, final)
-                text = package.outcome_text(call.transaction, call.request.termination, outcome)
+                text = package.outcome_text(call.transaction_id, call.request.termination, outcome)
                 call.requester.session.send(text)
 
     def set_up(self, action: api.SetUp) -> None:
