--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -37,7 +37,7 @@
 UNCONFIRMED_RETENTION = 3_000 * MS  # longer than it takes to detect a silent connection
 
 
-class Owner(Protocol):
+class LinkObserver(Protocol):
     """Callbacks of a link."""
 
     def on_link_up(self, link: Link) -> None: ...
@@ -193,7 +193,9 @@
     `address`. `retired`: the exchange left the list and is not connected to again.
     """
 
-    def __init__(self, kernel: Kernel, owner: Owner, exchange: str, address: str, dial_timeout: int) -> None:
+    def __init__(
+        self, kernel: Kernel, owner: LinkObserver, exchange: str, address: str, dial_timeout: int
+    ) -> None:
         self.kernel, self.owner, self.exchange, self.address = kernel, owner, exchange, address
         self.dial_timeout = dial_timeout
         self.connect_failed = self.closing = self.retired = False
