--- a/peattrestle/platform/connections.py
+++ b/peattrestle/platform/connections.py
@@ -70,7 +70,7 @@
         return not self.has_sent_message and now - self.accepted_at > FIRST_MESSAGE_TIMEOUT
 
 
-class Owner(Protocol):
+class ConnectionObserver(Protocol):
     """Callbacks of the connections."""
 
     def handle_message(self, caller: Caller, message: sip.Message) -> None: ...
@@ -85,7 +85,12 @@
     """
 
     def __init__(
-        self, kernel: Kernel, owner: Owner, counts: Counts, log: Log, max_connections: Callable[[], int]
+        self,
+        kernel: Kernel,
+        owner: ConnectionObserver,
+        counts: Counts,
+        log: Log,
+        max_connections: Callable[[], int],
     ) -> None:
         self.kernel, self.owner, self.counts, self.log, self.max_connections = (
             kernel,
