--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -1,8 +1,8 @@
 """The TCP connections to one exchange: connecting, liveness probes, and reconnecting with random backoff.
 
 A link only tracks whether it is connected and whether the exchange sends on the connection; the lines
-received go to the owner. A release with an error cause does not count as a sign of life, because a proxy in
-front of a vanished machine keeps answering invalid set-ups with such errors.
+received go to the observer. A release with an error cause does not count as a sign of life, because a proxy
+in front of a vanished machine keeps answering invalid set-ups with such errors.
 
 A link has two connections, so that a corrupted, reset or silently dropped one affects only its part of the
 pending set-ups. A connection may go silent while its exchange is healthy. It is probed after being quiet for
@@ -81,7 +81,7 @@
                 stream = yield from self.kernel.connect(link.address, link.dial_timeout)
             except (ConnectFailed, ValueError) as error:
                 link.connect_failed = True
-                link.owner.on_link_refused(link, "ECONNREFUSED" in str(error))
+                link.observer.on_link_refused(link, "ECONNREFUSED" in str(error))
             else:
                 try:
                     why = "link closed" if link.is_closing else (yield from self.receive_lines(stream))
@@ -118,7 +118,7 @@
                 while (line := reader.next()) is not None:
                     if line.verb != "FINISH" or line.rc not in lines.ERROR_CAUSES:
                         self.on_received(line.verb == "LOAD")
-                    self.link.owner.on_line(self.link, self, line)
+                    self.link.observer.on_line(self.link, self, line)
                 if stream.unsent > MAX_UNSENT_BYTES:
                     return f"the exchange left {stream.unsent} bytes unread"
                 if len(data) == 65536:
@@ -194,9 +194,9 @@
     """
 
     def __init__(
-        self, kernel: Kernel, owner: LinkObserver, exchange: str, address: str, dial_timeout: int
+        self, kernel: Kernel, observer: LinkObserver, exchange: str, address: str, dial_timeout: int
     ) -> None:
-        self.kernel, self.owner, self.exchange, self.address = kernel, owner, exchange, address
+        self.kernel, self.observer, self.exchange, self.address = kernel, observer, exchange, address
         self.dial_timeout = dial_timeout
         self.connect_failed = self.closing = self.retired = False
         self.tries: dict[str, LinkTry] = {}
@@ -236,14 +236,14 @@
         """Handles a sign of life. `is_first`: the first one on a new connection."""
         self.last_received_at, self.connect_failed = connection.last_received_at, False
         if is_first:
-            self.owner.on_link_up(self)
+            self.observer.on_link_up(self)
         if report:
             for other in self.connections:
                 if other is not connection:
                     other.on_report_missed()
 
     def on_lost(self, connection: LinkConnection, why: str) -> None:
-        """Passes the tries and unconfirmed releases of a lost connection to the owner."""
+        """Passes the tries and unconfirmed releases of a lost connection to the observer."""
         connection.pending_count = 0
         tries = [route_try for route_try in self.tries.values() if route_try.connection is connection]
         lost = [
@@ -253,7 +253,7 @@
         ]
         for tag, _ in lost:
             del self.unconfirmed[tag]
-        self.owner.on_link_lost(self, tries, lost, why)
+        self.observer.on_link_lost(self, tries, lost, why)
 
     def send_set_up(self, route_try: LinkTry, tag: str, data: bytes) -> None:
         """Sends a set-up, or queues it without a connection.
@@ -285,7 +285,7 @@
         """Sends the release of an established call on the connection heard from last; False without one.
 
         A connection that is cut off still accepts bytes for a while. The release is therefore kept until the
-        exchange confirms it, and given back to the owner if the connection is lost before that.
+        exchange confirms it, and given back to the observer if the connection is lost before that.
         """
         connections = [connection for connection in self.connections if connection.is_up]
         if not connections:
