--- a/peattrestle/platform/connections.py
+++ b/peattrestle/platform/connections.py
@@ -87,14 +87,14 @@
     def __init__(
         self,
         kernel: Kernel,
-        owner: ConnectionObserver,
+        observer: ConnectionObserver,
         counts: Counts,
         log: Log,
         max_connections: Callable[[], int],
     ) -> None:
-        self.kernel, self.owner, self.counts, self.log, self.max_connections = (
+        self.kernel, self.observer, self.counts, self.log, self.max_connections = (
             kernel,
-            owner,
+            observer,
             counts,
             log,
             max_connections,
@@ -198,12 +198,12 @@
             self.active.move_to_end(caller)
 
     def dispatch(self, caller: Caller, message: sip.Message) -> None:
-        """Passes a message to the owner.
+        """Passes a message to the observer.
 
         An exception in the handler costs only this message, not the open calls of its connection.
         """
         try:
-            self.owner.handle_message(caller, message)
+            self.observer.handle_message(caller, message)
         except Exception as error:
             self.counts.add("message_faults")
             where = "".join(traceback.format_tb(error.__traceback__)[-2:])
@@ -241,7 +241,7 @@
         del self.active[caller]
         open_calls = list(caller.open_calls)
         self.log("debug", "caller connection ended", why=why, peer=caller.stream.peer, open=open_calls)
-        self.owner.on_connection_ended(caller)
+        self.observer.on_connection_ended(caller)
 
     def close_late(self, now: int) -> None:
         """Answers connections whose first or current message is overdue with 408, and closes them."""
