--- a/peattrestle/wirehost/host.py
+++ b/peattrestle/wirehost/host.py
@@ -21,7 +21,7 @@
     fields: tuple[str, ...]
 
 
-def line_of(agent: int, action: api.Action) -> str:
+def encode_action(agent: int, action: api.Action) -> str:
     """Returns the line for an action of the agent numbered `agent`.
 
     Converts nanoseconds to microseconds: delays and timers are rounded up, timeouts down, so that no rule
@@ -83,7 +83,7 @@
             self.handle_line(line)
         for agent, events in self.pending.items():
             actions = self.instances[agent].controller.handle(self.now, events)
-            self.reply.extend(line_of(agent, action) for action in actions)
+            self.reply.extend(encode_action(agent, action) for action in actions)
         self.pending.clear()
         self.reply.append("ack\n")
         self.sink.write("\n".join(self.reply))
