--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -14,7 +14,7 @@
 from peattrestle.h248 import text, tpkt
 from peattrestle.h248.transactions import (
     Answered,
-    Duplicate,
+    DuplicateRequest,
     NewRequest,
     StillPending,
     Transactions,
@@ -84,7 +84,7 @@
                 self._set_peer(parsed.mid)
             for part in parsed.parts:
                 event = self.transactions.receive(now, part)
-                if isinstance(event, Duplicate):
+                if isinstance(event, DuplicateRequest):
                     self.send(event.text)
                 elif event is not None:
                     events.append(event)
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Duplicate:
+class DuplicateRequest:
     """A repeated request: send `text` (its reply, or Pending), and do not carry it out again."""
 
     text: str
@@ -74,7 +74,7 @@
     id: int
 
 
-ReceiveResult = NewRequest | Duplicate | Answered | StillPending | UnknownTransaction | None
+ReceiveResult = NewRequest | DuplicateRequest | Answered | StillPending | UnknownTransaction | None
 
 
 class Transactions:
@@ -175,8 +175,8 @@
             self.received_requests[request.id] = ServedRequest(now)
             return NewRequest(request)
         if served.reply is None:
-            return Duplicate(f"Pending={request.id}{{}}")
-        return Duplicate(served.reply) if served.reply else None
+            return DuplicateRequest(f"Pending={request.id}{{}}")
+        return DuplicateRequest(served.reply) if served.reply else None
 
     def answer(self, transaction_id: int, reply: str) -> None:
         """Keeps the reply that the caller sends. Raises KeyError where the request has a reply already."""
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -11,7 +11,7 @@
 from peattrestle.h248.transactions import (
     LONG_TIMER,
     Answered,
-    Duplicate,
+    DuplicateRequest,
     NewRequest,
     StillPending,
     TooManyOpenRequests,
@@ -50,10 +50,10 @@
 def test_a_repeated_request_is_carried_out_once() -> None:
     peer = Transactions()
     assert peer.receive(0, REQUEST) == NewRequest(REQUEST)
-    assert peer.receive(1, REQUEST) == Duplicate("Pending=5{}")  # still being carried out
+    assert peer.receive(1, REQUEST) == DuplicateRequest("Pending=5{}")  # still being carried out
     peer.answer(5, "Reply=5{...}")
-    assert peer.receive(2, REQUEST) == Duplicate("Reply=5{...}")
-    assert peer.receive(LONG_TIMER - 1, REQUEST) == Duplicate("Reply=5{...}")
+    assert peer.receive(2, REQUEST) == DuplicateRequest("Reply=5{...}")
+    assert peer.receive(LONG_TIMER - 1, REQUEST) == DuplicateRequest("Reply=5{...}")
     with pytest.raises(KeyError):
         peer.answer(5, "another")
     peer.receive(3, text.Ack([(1, 9)]))
@@ -64,8 +64,8 @@
 def test_a_request_still_being_carried_out_is_not_forgotten() -> None:
     peer = Transactions()
     peer.receive(0, REQUEST)
-    assert peer.receive(3 * LONG_TIMER, REQUEST) == Duplicate("Pending=5{}")
-    assert peer.receive(9 * LONG_TIMER, REQUEST) == Duplicate("Pending=5{}")
+    assert peer.receive(3 * LONG_TIMER, REQUEST) == DuplicateRequest("Pending=5{}")
+    assert peer.receive(9 * LONG_TIMER, REQUEST) == DuplicateRequest("Pending=5{}")
 
 
 def test_replies_out_of_order_late_and_unknown() -> None:
