--- a/benchmarks/agent_load.py
+++ b/benchmarks/agent_load.py
@@ -27,7 +27,7 @@
 from peattrestle.h248 import package
 from peattrestle.h248.package import Outcome, SetUpRequest
 from peattrestle.h248.session import Session
-from peattrestle.h248.transactions import Answered, NewRequest, Transactions
+from peattrestle.h248.transactions import NewRequest, ReplyReceived, Transactions
 from peattrestle.rehearsal.hosts import free_address
 from peattrestle.runtime import Coroutine, Stream
 from peattrestle.runtime.epoll import EpollKernel
@@ -151,7 +151,7 @@
         """Records the delay of each answered call and schedules its release."""
         while data := (yield from stream.read()):
             for event in session.feed(self.kernel.now(), data):
-                if isinstance(event, Answered) and isinstance(event.attachment, tuple):
+                if isinstance(event, ReplyReceived) and isinstance(event.attachment, tuple):
                     termination, at = event.attachment
                     if package.read_outcome(event.reply).code == 0:
                         self.established += 1
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -37,8 +37,8 @@
 from peattrestle.h248.session import MalformedMessage, ProtocolViolation, Session, SessionEvent
 from peattrestle.h248.text import Action, Command, Reply, Request
 from peattrestle.h248.transactions import (
-    Answered,
     NewRequest,
+    ReplyReceived,
     TooManyOpenRequests,
     Transactions,
     UnknownTransaction,
@@ -491,9 +491,9 @@
     def on_link_event(self, link: Link, event: SessionEvent) -> None:
         """Handles a reply, a request or a malformed message received over a link."""
         match event:
-            case Answered(RouteTry() as route_try, reply):
+            case ReplyReceived(RouteTry() as route_try, reply):
                 self.on_add_reply(route_try, package.read_outcome(reply))
-            case Answered(Release() as release, reply):
+            case ReplyReceived(Release() as release, reply):
                 link.on_release_reply(release, package.reply_error_code(reply))
                 found = package.first_command(reply.actions)
                 if found is not None:
@@ -501,7 +501,7 @@
                     load = package.read_load(statistics.items or ()) if statistics else {}
                     if load:
                         self.post(api.LoadReported(link.exchange, "served", 0, load))
-            case Answered("hello", reply):
+            case ReplyReceived("hello", reply):
                 self.on_hello_reply(link, reply)
             case NewRequest(request):
                 self.handle_exchange_request(link, request.id, request.actions)
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -7,7 +7,7 @@
 
 from peattrestle.h248 import package
 from peattrestle.h248.session import MalformedMessage, ProtocolViolation, Session
-from peattrestle.h248.transactions import Answered, Transactions
+from peattrestle.h248.transactions import ReplyReceived, Transactions
 from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, TimedOut
 from peattrestle.runtime.epoll import EpollKernel
 
@@ -36,7 +36,7 @@
             for message in session.feed(kernel.now(), data):
                 if isinstance(message, MalformedMessage):
                     answer["text"] = str(message.fault)
-                elif isinstance(message, Answered) and message.attachment == "add":
+                elif isinstance(message, ReplyReceived) and message.attachment == "add":
                     outcome = package.read_outcome(message.reply)
                     answer_texts = {0: "stands", package.REFUSED: "refused", package.FAILED: "failed"}
                     answer.update(
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -13,9 +13,9 @@
 
 from peattrestle.h248 import text, tpkt
 from peattrestle.h248.transactions import (
-    Answered,
     DuplicateRequest,
     NewRequest,
+    ReplyReceived,
     StillPending,
     Transactions,
     UnknownTransaction,
@@ -35,7 +35,7 @@
     fault: text.Malformed
 
 
-SessionEvent = NewRequest | Answered | StillPending | UnknownTransaction | MalformedMessage
+SessionEvent = NewRequest | ReplyReceived | StillPending | UnknownTransaction | MalformedMessage
 
 
 class Session:
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Answered:
+class ReplyReceived:
     """The peer's reply to a request of ours; `attachment` is what was given to `begin`."""
 
     attachment: Any
@@ -74,7 +74,7 @@
     id: int
 
 
-ReceiveResult = NewRequest | DuplicateRequest | Answered | StillPending | UnknownTransaction | None
+ReceiveResult = NewRequest | DuplicateRequest | ReplyReceived | StillPending | UnknownTransaction | None
 
 
 class Transactions:
@@ -142,7 +142,7 @@
             if part.id not in self.open:
                 return UnknownTransaction(part.id)
             self._acks.append(part.id)
-            return Answered(self.open.pop(part.id), part)
+            return ReplyReceived(self.open.pop(part.id), part)
         if isinstance(part, Request):
             return self._receive_request(now, part)
         if isinstance(part, Pending):
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -8,7 +8,7 @@
 from peattrestle.h248 import package
 from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import ProtocolViolation, Session
-from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
+from peattrestle.h248.transactions import NewRequest, ReplyReceived, Transactions, UnknownTransaction
 from peattrestle.runtime import (
     ConnectFailed,
     ConnectionLost,
@@ -223,7 +223,7 @@
         try:
             while data := (yield from stream.read()):
                 for event in session.feed(self.kernel.now(), data):
-                    if isinstance(event, Answered):
+                    if isinstance(event, ReplyReceived):
                         self.handle_reply(event)
                     elif isinstance(event, NewRequest):
                         self.handle_request(event)
@@ -406,7 +406,7 @@
             self.record.add(self.kernel.now(), "repeated", self.name, self.agent, attempt.termination)
             self.session.send(package.add_text(attempt.transaction_id, request))
 
-    def handle_reply(self, event: Answered) -> None:
+    def handle_reply(self, event: ReplyReceived) -> None:
         """Handles a reply from the agent."""
         now, pending = self.kernel.now(), event.attachment
         if pending == "hello":
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -15,7 +15,7 @@
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
 from peattrestle.h248.session import ProtocolViolation, Session
 from peattrestle.h248.text import Action, Command, Malformed, Request
-from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
+from peattrestle.h248.transactions import NewRequest, ReplyReceived, Transactions, UnknownTransaction
 from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.standin.exchange_network import ExchangeNetwork, Group, SocketFaults
 from peattrestle.standin.processor import Processor
@@ -108,9 +108,13 @@
         for event in self.session.feed(exchange.kernel.now(), data):
             if isinstance(event, NewRequest) and self.peer is not None:
                 exchange.handle_request(self, self.peer, event.request)
-            elif isinstance(event, Answered) and isinstance(event.attachment, ExchangeCall):
+            elif isinstance(event, ReplyReceived) and isinstance(event.attachment, ExchangeCall):
                 exchange.handle_onward_reply(event.attachment, package.read_outcome(event.reply))
-            elif isinstance(event, Answered) and isinstance(event.attachment, str) and self.peer is not None:
+            elif (
+                isinstance(event, ReplyReceived)
+                and isinstance(event.attachment, str)
+                and self.peer is not None
+            ):
                 exchange.handle_release_reply(
                     self.peer, event.attachment, package.reply_error_code(event.reply)
                 )
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -12,7 +12,7 @@
 from peattrestle.h248 import package
 from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import Session, SessionEvent
-from peattrestle.h248.transactions import Answered, StillPending, Transactions
+from peattrestle.h248.transactions import ReplyReceived, StillPending, Transactions
 from peattrestle.rehearsal.script import Bearer, Fleet, Script
 from peattrestle.rehearsal.world import World
 from peattrestle.runtime import ConnectionLost, Coroutine, Stream
@@ -67,7 +67,7 @@
     def answers(self) -> dict[int, tuple[int, int]]:
         outcomes = {}
         for event in self.events:
-            if isinstance(event, Answered) and isinstance(event.attachment, int):
+            if isinstance(event, ReplyReceived) and isinstance(event.attachment, int):
                 outcome = package.read_outcome(event.reply)
                 outcomes[event.attachment] = (outcome.code, outcome.retry_after)
         return outcomes
@@ -166,7 +166,7 @@
 
     harness.run(body())
     kinds = [type(event).__name__ for event in harness.events if getattr(event, "attachment", None) == 1]
-    assert kinds == [StillPending.__name__, Answered.__name__]
+    assert kinds == [StillPending.__name__, ReplyReceived.__name__]
     assert harness.answers()[1][0] == 510  # the try timed out; a set-up that is safe to repeat is refused
 
 
@@ -228,7 +228,9 @@
         yield from harness.kernel.sleep(3 * SECOND)
 
     harness.run(body())
-    answers = [event for event in harness.events if isinstance(event, Answered) and event.attachment == 1]
+    answers = [
+        event for event in harness.events if isinstance(event, ReplyReceived) and event.attachment == 1
+    ]
     expected = {"gateway": {"asked": 0, "out": 0}}.get(side, {}).get(state, 1)
     assert len(answers) == expected
     assert harness.agent.calls == {} and harness.agent.terminations == {}
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -10,9 +10,9 @@
 from peattrestle.h248.tpkt import BadFrame, Framer, frame
 from peattrestle.h248.transactions import (
     LONG_TIMER,
-    Answered,
     DuplicateRequest,
     NewRequest,
+    ReplyReceived,
     StillPending,
     TooManyOpenRequests,
     Transactions,
@@ -73,7 +73,7 @@
     ids = [peer.begin(name) for name in "abc"]
     assert ids == [(1 << 32) - 2, (1 << 32) - 1, 1]  # 0 is no id
     reply = text.Reply(ids[2])
-    assert peer.receive(0, reply) == Answered("c", reply)
+    assert peer.receive(0, reply) == ReplyReceived("c", reply)
     assert peer.receive(0, reply) == UnknownTransaction(1)  # a second time
     assert peer.receive(0, text.Pending(ids[0])) == StillPending("a")
     peer.close(ids[0])
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -10,7 +10,7 @@
 from peattrestle.h248 import package, text
 from peattrestle.h248.package import BadValue, Notice
 from peattrestle.h248.session import Session
-from peattrestle.h248.transactions import Answered, NewRequest
+from peattrestle.h248.transactions import NewRequest, ReplyReceived
 from peattrestle.runtime import Coroutine
 from peattrestle.settings.agent import Limits
 from tests.agent.test_bounds import AgentHarness
@@ -37,7 +37,7 @@
         session, stream = yield from harness.gateway(name)
         while data := (yield from stream.read()):
             for message in session.feed(harness.kernel.now(), data):
-                if not isinstance(message, Answered) or message.attachment != "hello":
+                if not isinstance(message, ReplyReceived) or message.attachment != "hello":
                     continue
                 reply_items = services(message)
                 if "ptl/wai" in reply_items:
@@ -81,7 +81,7 @@
                     session.reply(
                         message.request.id, package.command_reply(message.request.id, "-", "Notify", "ROOT")
                     )
-                elif isinstance(message, Answered) and isinstance(message.attachment, int):
+                elif isinstance(message, ReplyReceived) and isinstance(message.attachment, int):
                     outcome = package.read_outcome(message.reply)
                     codes.append((outcome.code, outcome.retry_after))
 
