--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -15,8 +15,8 @@
 from peattrestle.h248.transactions import (
     DuplicateRequest,
     NewRequest,
+    PendingReceived,
     ReplyReceived,
-    StillPending,
     Transactions,
     UnknownTransaction,
 )
@@ -35,7 +35,7 @@
     fault: text.Malformed
 
 
-SessionEvent = NewRequest | ReplyReceived | StillPending | UnknownTransaction | MalformedMessage
+SessionEvent = NewRequest | ReplyReceived | PendingReceived | UnknownTransaction | MalformedMessage
 
 
 class Session:
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class StillPending:
+class PendingReceived:
     """The peer sent Pending for a request of ours; `attachment` is what was given to `begin`."""
 
     attachment: Any
@@ -74,7 +74,7 @@
     id: int
 
 
-ReceiveResult = NewRequest | DuplicateRequest | ReplyReceived | StillPending | UnknownTransaction | None
+ReceiveResult = NewRequest | DuplicateRequest | ReplyReceived | PendingReceived | UnknownTransaction | None
 
 
 class Transactions:
@@ -146,7 +146,9 @@
         if isinstance(part, Request):
             return self._receive_request(now, part)
         if isinstance(part, Pending):
-            return StillPending(self.open[part.id]) if part.id in self.open else UnknownTransaction(part.id)
+            return (
+                PendingReceived(self.open[part.id]) if part.id in self.open else UnknownTransaction(part.id)
+            )
         for low, high in part.ranges:
             if high - low < len(self.received_requests):
                 transaction_ids = [
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -12,7 +12,7 @@
 from peattrestle.h248 import package
 from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import Session, SessionEvent
-from peattrestle.h248.transactions import ReplyReceived, StillPending, Transactions
+from peattrestle.h248.transactions import PendingReceived, ReplyReceived, Transactions
 from peattrestle.rehearsal.script import Bearer, Fleet, Script
 from peattrestle.rehearsal.world import World
 from peattrestle.runtime import ConnectionLost, Coroutine, Stream
@@ -166,7 +166,7 @@
 
     harness.run(body())
     kinds = [type(event).__name__ for event in harness.events if getattr(event, "attachment", None) == 1]
-    assert kinds == [StillPending.__name__, ReplyReceived.__name__]
+    assert kinds == [PendingReceived.__name__, ReplyReceived.__name__]
     assert harness.answers()[1][0] == 510  # the try timed out; a set-up that is safe to repeat is refused
 
 
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -12,8 +12,8 @@
     LONG_TIMER,
     DuplicateRequest,
     NewRequest,
+    PendingReceived,
     ReplyReceived,
-    StillPending,
     TooManyOpenRequests,
     Transactions,
     UnknownTransaction,
@@ -75,7 +75,7 @@
     reply = text.Reply(ids[2])
     assert peer.receive(0, reply) == ReplyReceived("c", reply)
     assert peer.receive(0, reply) == UnknownTransaction(1)  # a second time
-    assert peer.receive(0, text.Pending(ids[0])) == StillPending("a")
+    assert peer.receive(0, text.Pending(ids[0])) == PendingReceived("a")
     peer.close(ids[0])
     assert peer.receive(0, text.Reply(ids[0])) == UnknownTransaction(ids[0])
     assert peer.close_all() == ["b"]
