--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -1,7 +1,7 @@
 """Decides how to follow all keys with a prefix: one full read, then a watch from the next revision on.
 
-This module decides what may be lost or repeated when connections break. `held` is the registry's content at
-`revision`: every revision is applied once and in order. The states:
+This module decides what may be lost or repeated when connections break. `contents` is the registry's content
+at `revision`: every revision is applied once and in order. The states:
 
 | state | meaning | ends with |
 | --- | --- | --- |
@@ -112,7 +112,7 @@
         self.min_retry_delay, self.max_retry_delay = min_retry_delay, max_retry_delay
         self.state = AWAY
         self.cluster = self.revision = 0
-        self.held: dict[bytes, HeldValue] = {}
+        self.contents: dict[bytes, HeldValue] = {}
         self.counts = Counts()
         self._retry_delay = min_retry_delay
         self._fragments: list[Event] = []
@@ -167,15 +167,15 @@
         if replaced_reason:
             self._recent_events.clear()  # revision numbers of another history
         present = {pair.key: pair for pair in answer.kvs}
-        changes = [Change(key, None, answer.header.revision) for key in self.held if key not in present]
+        changes = [Change(key, None, answer.header.revision) for key in self.contents if key not in present]
         for key, pair in present.items():
-            before = self.held.get(key)
+            before = self.contents.get(key)
             if before is None or (before.value, before.created) != (pair.value, pair.create_revision):
                 changes.append(Change(key, pair.value, pair.mod_revision, pair.create_revision))
-            self.held[key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
+            self.contents[key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
         for change in changes:
             if change.value is None:
-                del self.held[change.key]
+                del self.contents[change.key]
         changes.sort(key=lambda change: change.revision)
         self.cluster, self.revision = answer.header.cluster_id, answer.header.revision
         self.counts.applied += len(changes)
@@ -225,10 +225,10 @@
                 continue
             self._recent_events[pair.key, pair.mod_revision] = None
             if event.type == "DELETE":
-                if self.held.pop(pair.key, None) is not None:
+                if self.contents.pop(pair.key, None) is not None:
                     changes.append(Change(pair.key, None, pair.mod_revision))
             else:
-                self.held[pair.key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
+                self.contents[pair.key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
                 changes.append(Change(pair.key, pair.value, pair.mod_revision, pair.create_revision))
         while len(self._recent_events) > self.MAX_RECENT_EVENTS:
             self._recent_events.popitem(last=False)
