--- a/peattrestle/platform/config.py
+++ b/peattrestle/platform/config.py
@@ -79,7 +79,7 @@
     if not isinstance(raw_settings, dict):
         raise BadConfig("settings: missing or not an object")
     try:
-        settings, _ = parse.settings_of(raw_settings)
+        settings, _ = parse.settings_from(raw_settings)
     except (parse.Malformed, KeyError, TypeError, AttributeError, ValueError) as error:
         raise BadConfig(f"settings: {type(error).__name__}: {error}") from None
     if not settings["bearer_types"]:
--- a/peattrestle/wirehost/parse.py
+++ b/peattrestle/wirehost/parse.py
@@ -73,10 +73,10 @@
         raise Malformed(f"BootInfo is not JSON: {error}") from None
     if not isinstance(tree, dict):
         raise Malformed("BootInfo is not a JSON object")
-    return settings_of(tree)
+    return settings_from(tree)
 
 
-def settings_of(tree: dict[str, Any]) -> tuple[dict[str, Any], tuple[str, ...]]:
+def settings_from(tree: dict[str, Any]) -> tuple[dict[str, Any], tuple[str, ...]]:
     """As `settings`, for a JSON object that has already been parsed, as in the platform's configuration."""
 
     def value_at(path: str) -> Any:
