--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -108,7 +108,7 @@
     harness.run(body())
     assert len(codes) == 300  # one final answer each, limited or not
     assert len(limited_calls) == harness.agent.counts.values["held_to_share"] > 10
-    assert all(come_back > 0 for code, come_back in codes if code == package.REFUSED)
+    assert all(retry_after > 0 for code, retry_after in codes if code == package.REFUSED)
     assert notices[0].lifetime > 0 and notices[0].rate < 200
     assert notices[-1].lifetime == 0  # lifted
     assert [notice.number for notice in notices] == sorted({notice.number for notice in notices})
