--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -72,7 +72,7 @@
 def without_gate() -> None:
     """Gateways may register and restart at any rate."""
     agent_storms.Storms.restart_after = lambda self, requester: 0  # type: ignore[method-assign]
-    agent_storms.Storms.waiting_delay = lambda self, known: 0  # type: ignore[method-assign]
+    agent_storms.Storms.waiting_delay = lambda self, gateway_count: 0  # type: ignore[method-assign]
 
 
 def without_slow_start() -> None:
@@ -120,16 +120,16 @@
     no_advice()
     from peattrestle.standin import callers
 
-    def back_off(self: Any, sale: Any, come_back: int) -> None:
-        habits = self.traffic.habits
-        if sale.tries > habits.redials or self.closing:
+    def back_off(self: Any, call: Any, retry_after: int) -> None:
+        behaviour = self.traffic.behaviour
+        if call.tries > behaviour.redials or self.is_closing:
             return
-        wait = round(habits.redial_least * 2**sale.tries * self.draw.uniform(0.5, 1.0))
+        wait = round(behaviour.redial_least * 2**call.tries * self.draw.uniform(0.5, 1.0))
         now = self.kernel.now()
-        if now + wait < sale.first_at + self.bearer(sale).abandon_time:
+        if now + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
-                sale.tries += 1
-            self.kernel.at(now + wait, lambda: None if self.closing else self.dial(sale, sale.cut))
+                call.tries += 1
+            self.kernel.call_at(now + wait, lambda: None if self.is_closing else self.dial(call, call.cut))
 
     callers.Gateway.redial = back_off  # type: ignore[method-assign]
 
@@ -162,18 +162,18 @@
     measured = measurements(script, result) | {"took": time.perf_counter() - started}
     registrations: dict[int, int] = {}
     for gateway in player.world.gateways:
-        for at in gateway.greetings:
+        for at in gateway.registration_times:
             if at > player.started:
                 registrations[at // SECOND] = registrations.get(at // SECOND, 0) + 1
     measured["most hellos/s"] = float(max(registrations.values(), default=0)) / script.fleet.exchanges
-    if any(gateway.flooded for gateway in player.world.gateways):
+    if any(gateway.has_flooded for gateway in player.world.gateways):
         first = player.started + min(trouble.at for trouble in script.trouble)
         until = player.started + max(trouble.at + trouble.length for trouble in script.trouble)
-        flooded_numbers = {gateway.number for gateway in player.world.gateways if gateway.flooded}
+        flooded_numbers = {gateway.number for gateway in player.world.gateways if gateway.has_flooded}
         neighbours = [
             gateway
             for gateway in player.world.gateways
-            if gateway.number in flooded_numbers and not gateway.flooded
+            if gateway.number in flooded_numbers and not gateway.has_flooded
         ]
         served = service(neighbours, first, until)
         measured["beside"] = served.earned / served.offered
@@ -202,12 +202,12 @@
     if script.trouble:
         first = min(trouble.at for trouble in script.trouble) // SECOND
         ended = -(-max(trouble.at + trouble.length for trouble in script.trouble) // SECOND)
-        before = series.over(max(0, first - 10), first)
-        recovery = series.back_after(before, 0.95, ended, 5)
+        before = series.mean_service(max(0, first - 10), first)
+        recovery = series.recovery_seconds(before, 0.95, ended, 5)
         measured |= {
             "before": before,
-            "10 s after": series.over(ended, min(seconds, ended + 10)),
-            "later": series.over(min(seconds, ended + 10), seconds),
+            "10 s after": series.mean_service(ended, min(seconds, ended + 10)),
+            "later": series.mean_service(min(seconds, ended + 10), seconds),
             "back s": float(recovery if recovery >= 0 else seconds - ended),
         }
     return measured
--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -29,22 +29,22 @@
 from peattrestle.agent.registry import Registry
 from peattrestle.agent.requester import Requester, RequesterTable
 from peattrestle.agent.storms import Storms
-from peattrestle.calls.core import ANSWERED, OPEN, REFUSED, Core, Final, Log, Unsent
+from peattrestle.calls.core import ANSWERED, OPEN, REFUSED, Core, FinalAnswer, Log, Unsent
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.h248 import package
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
-from peattrestle.h248.session import BadPeer, MalformedMessage, Session, SessionEvent
+from peattrestle.h248.session import MalformedMessage, ProtocolViolation, Session, SessionEvent
 from peattrestle.h248.text import Action, Command, Reply, Request
 from peattrestle.h248.transactions import (
-    Answered,
     NewRequest,
+    ReplyReceived,
     TooManyOpenRequests,
     Transactions,
     UnknownTransaction,
 )
 from peattrestle.membership.exchange_list import MembershipUpdate
-from peattrestle.runtime import Coroutine, Event, Kernel, Listener, Lost, Refused, Stream
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Event, Kernel, Listener, Stream
 from peattrestle.settings.agent import Agent as Settings
 
 MS = 1_000_000  # nanoseconds
@@ -137,7 +137,7 @@
                 yield from self.kernel.sleep(wait)
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             if self.connection_count >= self.settings.limits.connections:
                 self.counts.add("connections_shed")
@@ -193,7 +193,7 @@
                         self.counts.add("orphans_released")
                         self.release_call(call)
 
-    def to_outcome(self, call: Call, final: Final) -> Outcome:
+    def to_outcome(self, call: Call, final: FinalAnswer) -> Outcome:
         """The final answer as an H.248 outcome."""
         if final.kind == ANSWERED:
             return Outcome(0, str(call.id))
@@ -262,15 +262,15 @@
             now,
             now + request.patience,
             requester=requester,
-            transaction=transaction_id,
+            transaction_id=transaction_id,
             request=request,
         )
         if not transit:
             retry_key = (requester.name, request.bearer_type, request.destination, request.number)
-            call.seen = self.retry_detector.classify(now, retry_key, request.repeat, request.cut_before)
-            self.storms.watch.count_call(now, call.seen, requester.name)
+            call.attempt = self.retry_detector.classify(now, retry_key, request.repeat, request.cut_before)
+            self.storms.detector.count_call(now, call.attempt, requester.name)
         requester.calls[request.termination] = call
-        call.pending_timer = self.kernel.at(
+        call.pending_timer = self.kernel.call_at(
             now + self.settings.limits.pending_after, lambda: self.send_pending(call)
         )
         via = request.origin if transit else request.via
@@ -287,10 +287,10 @@
             request.repeat,
             request.customer,
             "" if transit else requester.name,
-            seen=call.seen,
+            attempt=call.attempt,
         )
         if not transit and not self.storms.admit(
-            requester.name, self.controller.relative_revenue(arrived, call.seen)
+            requester.name, self.controller.relative_revenue(arrived, call.attempt)
         ):
             call.over_share = True
             arrived = replace(arrived, over_share=True)
@@ -299,7 +299,7 @@
     def send_pending(self, call: Call) -> None:
         """Sends H.248's Pending, once for each call, where the final answer takes longer."""
         if call.state == OPEN and call.requester.session is not None:
-            call.requester.session.send(f"Pending={call.transaction}{{}}")
+            call.requester.session.send(f"Pending={call.transaction_id}{{}}")
 
     def handle_subtract(
         self, requester: Requester, transaction_id: int, action: Action, command: Command
@@ -337,9 +337,9 @@
         """
         super().caller_left(call)
         call.requester.transactions.answer(
-            call.transaction,
+            call.transaction_id,
             package.outcome_text(
-                call.transaction, call.request.termination, Outcome(package.FAILED, text="the caller left")
+                call.transaction_id, call.request.termination, Outcome(package.FAILED, text="the caller left")
             ),
         )
 
@@ -398,12 +398,12 @@
     def release_try(self, route_try: RouteTry, tell: bool) -> None:
         """Forgets a route try; `tell`: the exchange is sent a Subtract, as it may hold a circuit for it."""
         if route_try.state == "out":
-            route_try.link.transactions.close(route_try.transaction)
+            route_try.link.transactions.close(route_try.transaction_id)
         self.terminations.pop(route_try.termination, None)
         if tell:
             route_try.link.release(route_try.context, route_try.termination, route_try.call.id)
 
-    def reply(self, call: Call, final: Final) -> None:
+    def reply(self, call: Call, final: FinalAnswer) -> None:
         """Counts the final answer and sends it to the requester."""
         if call.pending_timer is not None:
             call.pending_timer.cancel()
@@ -413,8 +413,8 @@
         elif call.requester is not self.own_exchange and not call.over_share:
             self.storms.admission.count_refused(self.kernel.now())
         call.requester.reply(
-            call.transaction,
-            package.outcome_text(call.transaction, call.request.termination, self.to_outcome(call, final)),
+            call.transaction_id,
+            package.outcome_text(call.transaction_id, call.request.termination, self.to_outcome(call, final)),
         )
 
     def on_answer_refused(self, call: Call) -> bool:
@@ -422,10 +422,11 @@
 
         False where it had been answered already.
         """
-        if not call.requester.transactions.is_unanswered(call.transaction):
+        if not call.requester.transactions.is_unanswered(call.transaction_id):
             return False
         call.requester.transactions.answer(
-            call.transaction, package.outcome_text(call.transaction, call.request.termination, INTERNAL_ERROR)
+            call.transaction_id,
+            package.outcome_text(call.transaction_id, call.request.termination, INTERNAL_ERROR),
         )
         return True
 
@@ -490,9 +491,9 @@
     def on_link_event(self, link: Link, event: SessionEvent) -> None:
         """Handles a reply, a request or a malformed message received over a link."""
         match event:
-            case Answered(RouteTry() as route_try, reply):
+            case ReplyReceived(RouteTry() as route_try, reply):
                 self.on_add_reply(route_try, package.read_outcome(reply))
-            case Answered(Release() as release, reply):
+            case ReplyReceived(Release() as release, reply):
                 link.on_release_reply(release, package.reply_error_code(reply))
                 found = package.first_command(reply.actions)
                 if found is not None:
@@ -500,7 +501,7 @@
                     load = package.read_load(statistics.items or ()) if statistics else {}
                     if load:
                         self.post(api.LoadReported(link.exchange, "served", 0, load))
-            case Answered("hello", reply):
+            case ReplyReceived("hello", reply):
                 self.on_hello_reply(link, reply)
             case NewRequest(request):
                 self.handle_exchange_request(link, request.id, request.actions)
@@ -592,8 +593,8 @@
         """Ends a standing call that was cut by its exchange, and notifies the requester."""
         call = route_try.call
         self.counts.add("cut")
-        if call.seen is not None:
-            self.storms.watch.record_cut(self.kernel.now(), call.requester.name)
+        if call.attempt is not None:
+            self.storms.detector.record_cut(self.kernel.now(), call.requester.name)
         self.end_try(route_try, tell=False)
         self.forget(call)
         self.post(api.TryEnded(call.id, route_try.exchange, "reset", 0, route_try.number, True))
@@ -609,7 +610,7 @@
         if exchange is not None and group.to != self.settings.number:
             self.post(api.LoadReported(exchange, "served", 0, {"free": group.free, "size": group.size}))
             circuits = sum(other_group.size for other_group in self.groups.values())
-            self.guard.carried = circuits / self._max_holding_time
+            self.guard.warm_capacity = circuits / self._max_holding_time
 
     # Gateways.
 
@@ -621,7 +622,7 @@
             nonlocal requester
             requester = self.requesters.get(mid)
             if requester is None:
-                raise BadPeer(f"limit of {limits.gateways} gateways reached")
+                raise ProtocolViolation(f"limit of {limits.gateways} gateways reached")
             if requester.stream is not None:
                 requester.stream.close()  # replaced by the new connection
             requester.session, requester.stream = session, stream
@@ -642,9 +643,9 @@
                     reason = f"gateway left {stream.unsent} bytes unread"
                     stream.abort()
                     break
-        except Lost as error:
+        except ConnectionLost as error:
             reason = str(error)
-        except (BadPeer, TooManyOpenRequests) as error:
+        except (ProtocolViolation, TooManyOpenRequests) as error:
             reason = f"bad peer: {error}"
             self.counts.add("bad_peers")
         finally:
@@ -723,7 +724,7 @@
             requester.reply(
                 transaction_id,
                 package.command_reply(
-                    transaction_id, "-", "ServiceChange", command.termination, inside=descriptors
+                    transaction_id, "-", "ServiceChange", command.termination, descriptors=descriptors
                 ),
             )
             return
@@ -740,7 +741,7 @@
                 "-",
                 "ServiceChange",
                 command.termination,
-                inside=f"Services{{Profile={package.PROFILE},ptc/run={self.run_id},"
+                descriptors=f"Services{{Profile={package.PROFILE},ptc/run={self.run_id},"
                 f"ptl/mwd={self.storms.waiting_delay(len(self.requesters.known))}}}",
             ),
         )
@@ -749,7 +750,7 @@
 
     def follow_list(self) -> Coroutine[None]:
         """Receives the exchange list from the address `list`, and reconnects with exponential backoff."""
-        links, rng = self.settings.links, self.kernel.chance("list")
+        links, rng = self.settings.links, self.kernel.random_for("list")
         wait = links.retry_least
         while True:
             reason = ""
@@ -762,7 +763,7 @@
                 while True:
                     data = yield from stream.read()
                     if not data:
-                        raise Lost("the list source closed the connection")
+                        raise ConnectionLost("the list source closed the connection")
                     *lines, buffer = (buffer + data).split(b"\n")
                     if len(buffer) > listing.MAX_LINE_BYTES:
                         raise listing.BadLine(f"line longer than {listing.MAX_LINE_BYTES} bytes")
@@ -770,7 +771,7 @@
                         list_line = listing.read_line(line)
                         self.apply_list(list_line.form, list_line.entries)
                         wait = links.retry_least
-            except (Refused, Lost) as error:
+            except (ConnectFailed, ConnectionLost) as error:
                 reason = str(error)
             except listing.BadLine as error:
                 reason = f"bad line: {error}"
@@ -805,7 +806,7 @@
         rows = []
         for member in update.members:
             entry = member.entry
-            age = self.kernel.wall() - round(entry.started * 1e9) if entry.started else -1
+            age = self.kernel.wall_time() - round(entry.started * 1e9) if entry.started else -1
             if not 0 <= age < 10**18:
                 age = -1
             rows.append(listing.Row(member.name, entry.number, entry.state, entry.address, entry.zone, age))
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -13,9 +13,18 @@
 
 from peattrestle.agent.calls import RouteTry
 from peattrestle.h248 import package
-from peattrestle.h248.session import BadPeer, Session, SessionEvent
+from peattrestle.h248.session import ProtocolViolation, Session, SessionEvent
 from peattrestle.h248.transactions import TooManyOpenRequests, Transactions
-from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
+from peattrestle.runtime import (
+    ConnectFailed,
+    ConnectionLost,
+    Coroutine,
+    Event,
+    Kernel,
+    Stream,
+    TimedOut,
+    Timer,
+)
 from peattrestle.settings.agent import Agent as Settings
 
 MAX_PENDING_RELEASES = 10_000  # releases that wait for a connection, for one exchange
@@ -33,17 +42,18 @@
 class Release:
     """A Subtract that is sent again until it has a reply, over a new connection if need be.
 
-    `transaction` is the id of its open request; `attempts` counts the times it was sent over this connection.
+    `transaction_id` is the id of its open request; `attempts` counts the times it was sent over this
+    connection.
     """
 
-    __slots__ = ("context", "termination", "call", "exchange", "attempts", "timer", "transaction")
+    __slots__ = ("context", "termination", "call", "exchange", "attempts", "timer", "transaction_id")
 
     def __init__(self, context: str, termination: str, call: int, exchange: str) -> None:
         self.context, self.termination = context, termination
         self.call, self.exchange = call, exchange
         self.attempts = 0
         self.timer: Timer | None = None
-        self.transaction = 0
+        self.transaction_id = 0
 
 
 class Link:
@@ -73,7 +83,7 @@
         self.session: Session | None = None
         self.stream: Stream | None = None
         self.up = self.first_attempt_done = self.closing = False
-        self.rng = kernel.chance(f"link/{exchange}")
+        self.rng = kernel.random_for(f"link/{exchange}")
         self.last_received_at = self.hello_sent_at = 0
         self.unanswered_audits = 0
         self.pending_releases: deque[Release] = deque()
@@ -87,14 +97,14 @@
         if links.restart_wait:
             # Restart avalanche procedure of H.248.1: a random wait, cut short when a call needs the link.
             with contextlib.suppress(TimedOut):
-                yield from self.kernel.within(
+                yield from self.kernel.with_timeout(
                     self.rng.randint(0, links.restart_wait), self.connect_requested.wait()
                 )
         while not self.closing:
             reason = ""
             try:
                 stream = yield from self.kernel.connect(self.address, links.dial_timeout, self.settings.label)
-            except (Refused, ValueError) as error:
+            except (ConnectFailed, ValueError) as error:
                 reason = str(error)
             else:
                 started = self.kernel.now()
@@ -117,7 +127,7 @@
             self.mid, self.transactions, stream.write, self.settings.limits.message
         )
         hello_id = session.request("hello", self.hello_text)
-        self.kernel.at(
+        self.kernel.call_at(
             self.kernel.now() + self.settings.links.release_repeat,
             lambda: self.resend_hello(session, hello_id),
         )
@@ -141,9 +151,9 @@
                 if stream.unsent > self.settings.limits.unread:
                     stream.abort()
                     return f"exchange left {stream.unsent} bytes unread"
-        except Lost as error:
+        except ConnectionLost as error:
             return str(error)
-        except BadPeer as error:
+        except ProtocolViolation as error:
             return f"bad peer: {error}"
         finally:
             keepalive_task.cancel()
@@ -166,7 +176,7 @@
         if self.session is session and self.transactions.open.get(transaction_id) == "hello":
             session.send(self.hello_text(transaction_id))
             resend_at = self.kernel.now() + self.settings.links.release_repeat
-            self.kernel.at(resend_at, lambda: self.resend_hello(session, transaction_id))
+            self.kernel.call_at(resend_at, lambda: self.resend_hello(session, transaction_id))
 
     def keep_alive(self, stream: Stream) -> Coroutine[None]:
         """Audits an idle connection every `keepalive`, and aborts it after two audits without an answer.
@@ -217,7 +227,7 @@
             self.connect_requested.set()
             return False
         try:
-            route_try.transaction = self.session.request(
+            route_try.transaction_id = self.session.request(
                 route_try, lambda transaction_id: package.add_text(transaction_id, request)
             )
         except TooManyOpenRequests:
@@ -234,7 +244,7 @@
             self.queue_release(release)
             return
         try:
-            release.transaction = self.session.request(
+            release.transaction_id = self.session.request(
                 release,
                 lambda transaction_id: package.subtract_text(
                     transaction_id, release.context, release.termination
@@ -243,7 +253,7 @@
         except TooManyOpenRequests:
             self.queue_release(release)
             return
-        self.releases[release.transaction] = release
+        self.releases[release.transaction_id] = release
         self.schedule_resend(release)
 
     def schedule_resend(self, release: Release) -> None:
@@ -256,13 +266,13 @@
             self.settings.links.release_repeat << min(release.attempts, 10), MAX_RELEASE_REPEAT_INTERVAL
         )
         release.attempts += 1
-        release.timer = self.kernel.at(self.kernel.now() + wait, lambda: self.resend_release(release))
+        release.timer = self.kernel.call_at(self.kernel.now() + wait, lambda: self.resend_release(release))
 
     def resend_release(self, release: Release) -> None:
         """Sends a release again that has had no reply."""
-        if self.session is None or release.transaction not in self.releases:
+        if self.session is None or release.transaction_id not in self.releases:
             return
-        self.session.send(package.subtract_text(release.transaction, release.context, release.termination))
+        self.session.send(package.subtract_text(release.transaction_id, release.context, release.termination))
         self.schedule_resend(release)
 
     def on_release_reply(self, release: Release, code: int) -> None:
@@ -273,12 +283,12 @@
         """
         if release.timer is not None:
             release.timer.cancel()
-        self.releases.pop(release.transaction, None)
+        self.releases.pop(release.transaction_id, None)
         if code not in (0, package.UNKNOWN_TERMINATION, package.UNKNOWN_CONTEXT):
             wait = min(
                 self.settings.links.release_repeat << min(release.attempts, 10), MAX_RELEASE_REPEAT_INTERVAL
             )
-            self.kernel.at(self.kernel.now() + wait, lambda: self.send_release(release))
+            self.kernel.call_at(self.kernel.now() + wait, lambda: self.send_release(release))
 
     def queue_release(self, release: Release) -> None:
         """Keeps a release for the next connection; drops the oldest one when the queue is full."""
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -1,15 +1,15 @@
 """Follows the exchange list in a key-value registry (etcd) over HTTP.
 
-This module only does the I/O. `Follower` decides what to read and watch, and `Roll` which changes of the list
-take effect. There is one connection at a time; after a failure the next endpoint is tried, in an order that
-each agent shuffles for itself.
+This module only does the I/O. `Follower` decides what to read and watch, and `MembershipTracker` which
+changes of the list take effect. There is one connection at a time; after a failure the next endpoint is
+tried, in an order that each agent shuffles for itself.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from peattrestle.membership.exchange_list import MembershipUpdate, Roll
+from peattrestle.membership.exchange_list import MembershipTracker, MembershipUpdate
 from peattrestle.registry import etcd
 from peattrestle.registry.follower import (
     Action,
@@ -21,7 +21,7 @@
     Wait,
 )
 from peattrestle.registry.http import BadAnswer, Conversation, End, Head, LineSplitter, Part
-from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, TimedOut
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel, Stream, TimedOut
 
 Log = Callable[..., None]
 MAX_BODY_BYTES = 8 << 20  # of the answer to a read
@@ -34,9 +34,10 @@
     `on_update(is_full, update)` receives the changes of the list in order; the first complete list is full.
     `count(name)` increments a counter. `label` names the agent to the registry.
 
-    `dial`: connect timeout. `answer`: timeout of a read. `quiet`: idle timeout of a watch; it is resumed on a
-    new connection without losing a change, since a half-open connection is detected in no other way. `least`
-    and `most`: first and longest wait of the backoff after a failure.
+    `dial_timeout`: connect timeout. `answer_timeout`: timeout of a read. `idle_timeout`: idle timeout of a
+    watch; it is resumed on a new connection without losing a change, since a half-open connection is detected
+    in no other way. `min_retry_wait` and `max_retry_wait`: first and longest wait of the backoff after a
+    failure.
     """
 
     def __init__(
@@ -48,17 +49,20 @@
         log: Log,
         count: Callable[[str], None],
         label: str,
-        dial: int,
-        answer: int,
-        quiet: int,
-        least: int,
-        most: int,
+        dial_timeout: int,
+        answer_timeout: int,
+        idle_timeout: int,
+        min_retry_wait: int,
+        max_retry_wait: int,
     ) -> None:
         self.kernel, self.on_update, self.log, self.count, self.label = kernel, on_update, log, count, label
-        self.dial_timeout, self.answer_timeout, self.idle_timeout = dial, answer, quiet
+        self.dial_timeout, self.answer_timeout, self.idle_timeout = dial_timeout, answer_timeout, idle_timeout
         self.prefix = prefix.encode()
-        self.follower, self.roll = Follower(least, most), Roll(self.prefix)
-        self.rng = kernel.chance("registry")
+        self.follower, self.membership = (
+            Follower(min_retry_wait, max_retry_wait),
+            MembershipTracker(self.prefix),
+        )
+        self.rng = kernel.random_for("registry")
         self.endpoints = list(endpoints)
         self.rng.shuffle(self.endpoints)
         self.initial_read_done = False
@@ -66,14 +70,14 @@
     def run(self) -> Coroutine[None]:
         """Follows the registry for ever."""
         # Jitter: agents that start together should not read at the same time.
-        yield from self.kernel.sleep(self.rng.randint(0, self.follower.least))
+        yield from self.kernel.sleep(self.rng.randint(0, self.follower.min_retry_delay))
         self.kernel.spawn(self.publish_due_changes(), "roll")
         steps = self.follower.start_request()
         while True:
             remote_step = self.run_local_steps(steps)
             try:
                 steps = yield from self.perform_remote_step(remote_step)
-            except (Refused, Lost, TimedOut) as error:
+            except (ConnectFailed, ConnectionLost, TimedOut) as error:
                 steps = self.on_failure(str(error) or "timed out waiting for an answer")
             except BadAnswer as error:
                 self.count("registry_bad_answers")
@@ -98,20 +102,22 @@
         return steps[-1]
 
     def apply_step(self, step: Action) -> None:
-        """Applies changes, or the confirmation that nothing has changed, to the roll."""
+        """Applies changes, or the confirmation that nothing has changed, to the membership."""
         now = self.kernel.now()
         if isinstance(step, ConfirmUnchanged):
-            self.roll.confirm(now)
+            self.membership.confirm(now)
         elif isinstance(step, Apply):
-            if step.strange:
-                self.log("warning", "connected to another registry than before", why=step.strange)
+            if step.replaced_reason:
+                self.log("warning", "connected to another registry than before", why=step.replaced_reason)
             changes = [(change.key, change.value, change.created) for change in step.changes]
-            self.publish(self.roll.apply(now, changes), step.whole and not self.initial_read_done)
-            self.initial_read_done |= step.whole
+            self.publish(
+                self.membership.apply(now, changes), step.is_full_read and not self.initial_read_done
+            )
+            self.initial_read_done |= step.is_full_read
 
     def publish(self, update: MembershipUpdate, is_full: bool) -> None:
-        """Logs the roll's warnings and passes on its changes, if any."""
-        for warning in update.notes:
+        """Logs the tracker's warnings and passes on its changes, if any."""
+        for warning in update.log_messages:
             self.log("warning", warning, origin="registry")
         if update.members or is_full:
             self.on_update(is_full, update)
@@ -120,12 +126,15 @@
         """Publishes changes that come due with time: doubtful removals and delayed returns."""
         while True:
             yield from self.kernel.sleep(250_000_000)
-            due = self.roll.due()
+            due = self.membership.next_due_at()
             if 0 <= due <= self.kernel.now():
-                self.publish(self.roll.advance(self.kernel.now()), False)
+                self.publish(self.membership.advance(self.kernel.now()), False)
 
     def perform_remote_step(self, step: Action) -> Coroutine[list[Action]]:
-        """Waits, reads or watches; returns the next steps. Raises Refused, Lost, TimedOut, BadAnswer."""
+        """Waits, reads or watches; returns the next steps.
+
+        Raises ConnectFailed, ConnectionLost, TimedOut, BadAnswer.
+        """
         if isinstance(step, Wait):
             yield from self.kernel.sleep(step.length)
             return self.follower.start_request()
@@ -135,12 +144,12 @@
             conversation = Conversation(endpoint, f"peattrestle/{self.label}")
             if isinstance(step, RequestRead):
                 stream.write(conversation.post(etcd.RANGE, etcd.range_request(self.prefix)))
-                result = yield from self.kernel.within(
+                result = yield from self.kernel.with_timeout(
                     self.answer_timeout,
                     self.read_answer(stream, conversation),
                     "timed out waiting for the registry's answer",
                 )
-                if isinstance(result, etcd.Failed):
+                if isinstance(result, etcd.ErrorAnswer):
                     return self.follower.on_error(result, self.rng.random())
                 return self.follower.on_read(etcd.read_range(result))
             assert isinstance(step, RequestWatch)
@@ -149,8 +158,8 @@
         finally:
             stream.close()
 
-    def read_answer(self, stream: Stream, conversation: Conversation) -> Coroutine[bytes | etcd.Failed]:
-        """Reads a complete answer, or the error that the registry named. Raises Lost, BadAnswer."""
+    def read_answer(self, stream: Stream, conversation: Conversation) -> Coroutine[bytes | etcd.ErrorAnswer]:
+        """Reads a complete answer, or the error that the registry named. Raises ConnectionLost, BadAnswer."""
         body, status = bytearray(), 0
         while True:
             data = yield from stream.read()
@@ -164,14 +173,17 @@
                 elif isinstance(piece, End):
                     return bytes(body) if status == 200 else etcd.read_error(bytes(body))
             if not data:
-                raise Lost("connection closed before the end of the answer")
+                raise ConnectionLost("connection closed before the end of the answer")
 
     def follow_watch(self, stream: Stream, conversation: Conversation) -> Coroutine[list[Action]]:
-        """Follows a watch until it ends; returns the next steps. Raises Lost, TimedOut, BadAnswer."""
+        """Follows a watch until it ends; returns the next steps.
+
+        Raises ConnectionLost, TimedOut, BadAnswer.
+        """
         lines, status = LineSplitter(MAX_LINE_BYTES), 0
         while True:
             try:
-                data = yield from self.kernel.within(
+                data = yield from self.kernel.with_timeout(
                     self.idle_timeout, stream.read(), "timed out waiting for the watch"
                 )
             except TimedOut:
@@ -192,16 +204,16 @@
                     steps = self.handle_watch_line(rest, status) if rest else []
                     if steps:
                         return steps
-                    raise Lost("the registry ended the watch")
+                    raise ConnectionLost("the registry ended the watch")
             if not data:
-                raise Lost("connection closed during the watch")
+                raise ConnectionLost("connection closed during the watch")
 
     def handle_watch_line(self, line: bytes, status: int) -> list[Action]:
         """Applies one message of the watch; returned steps end the watch. Raises BadAnswer."""
         if status != 200:
             return self.follower.on_error(etcd.read_error(line), self.rng.random())
         message = etcd.read_watch_response(line)
-        if isinstance(message, etcd.Failed):
+        if isinstance(message, etcd.ErrorAnswer):
             return self.follower.on_error(message, self.rng.random())
         steps = self.follower.on_watch_message(message, self.rng.random())
         for index, step in enumerate(steps):
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -4,7 +4,7 @@
 once (return), or many gateways reconnect together (reconnect). Decided here, with the algorithms of the
 package `peattrestle.storms`:
 
-- whether a storm has started or ended, each logged with its evidence and counted (`Watch`);
+- whether a storm has started or ended, each logged with its evidence and counted (`StormDetector`);
 - whether a gateway's call is admitted or exceeds the gateway's fair share (`GatewayAdmission`);
 - which gateways are sent a notice of the rate that they may offer, and when it is renewed or lifted
   (`Notices`);
@@ -45,21 +45,21 @@
     ) -> None:
         self.kernel, self.limits, self.log, self.count = kernel, limits, log, count
         self.gateways = gateways
-        self.watch, self.admission = StormDetector(), GatewayAdmission()
+        self.detector, self.admission = StormDetector(), GatewayAdmission()
         # Sequence numbers start from the clock: notices of a new run must count as newer than the last one's.
         self.notices = Notices(kernel.now() // MS)
         self.restart_limiter = restarts.RestartPacer(
             limits.restarts, max(1, limits.restarts // 4), limits.gateways
         )
         self.accept_limiter = restarts.RestartPacer(limits.accepts, limits.accepts, 1)
-        self.rng = kernel.chance("door")
+        self.rng = kernel.random_for("door")
 
     def run(self) -> Coroutine[None]:
         """Every `CHECK_INTERVAL`, logs storms and changes of the limiting, and sends rate notices."""
         while True:
             yield from self.kernel.sleep(CHECK_INTERVAL)
             now = self.kernel.now()
-            for storm in self.watch.update(now):
+            for storm in self.detector.update(now):
                 self.log_storm(storm)
             was_limiting = self.admission.is_limiting
             self.admission.update(now)
@@ -70,7 +70,7 @@
                     if self.admission.is_limiting
                     else "gateway limits lifted",
                     carried=round(self.admission.answered.rate(now), 1),
-                    offered=round(self.watch.offered(now), 1),
+                    offered=round(self.detector.offered(now), 1),
                     turned_away=self.admission.turned_away,
                 )
             self.send_notices(self.notices.due_notices(now, self.admission.limits_to_announce()))
@@ -119,14 +119,14 @@
     def on_gateway_connected(self, requester: Requester, gateway_count: int) -> None:
         """Records a reconnection. `gateway_count`: gateways known to the agent."""
         now = self.kernel.now()
-        self.watch.count_connection(
+        self.detector.count_connection(
             now, gateway_count, now - requester.disconnected_at if requester.disconnected_at else -1
         )
 
     def on_gateway_disconnected(self, requester: Requester) -> None:
         """Frees the gateway's share and forgets its rate notice."""
         self.admission.remove_gateway(requester.name)
-        self.notices.gone(requester.name)
+        self.notices.remove_gateway(requester.name)
 
     def restart_after(self, requester: Requester) -> int:
         """0: the gateway may restart now; else nanoseconds after which it is to retry its ServiceChange."""
@@ -135,9 +135,10 @@
             self.count("restarts_held_back")
         return wait
 
-    def waiting_delay(self, known: int) -> int:
+    def waiting_delay(self, gateway_count: int) -> int:
         """Maximum waiting delay of H.248.1's restart avalanche procedure, in nanoseconds.
 
-        `known`: gateways known to the agent. Each draws the wait before its next restart from zero to this.
+        `gateway_count`: gateways known to the agent. Each draws the wait before its next restart from zero
+        to this.
         """
-        return restarts.waiting_delay(known, self.limits.restarts)
+        return restarts.waiting_delay(gateway_count, self.limits.restarts)
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from peattrestle.h248 import package
-from peattrestle.h248.session import BadPeer, MalformedMessage, Session
-from peattrestle.h248.transactions import Answered, Transactions
-from peattrestle.runtime import Coroutine, Lost, Refused, TimedOut
+from peattrestle.h248.session import MalformedMessage, ProtocolViolation, Session
+from peattrestle.h248.transactions import ReplyReceived, Transactions
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, TimedOut
 from peattrestle.runtime.epoll import EpollKernel
 
 SECOND = 1_000_000_000  # nanoseconds
@@ -36,7 +36,7 @@
             for message in session.feed(kernel.now(), data):
                 if isinstance(message, MalformedMessage):
                     answer["text"] = str(message.fault)
-                elif isinstance(message, Answered) and message.kept == "add":
+                elif isinstance(message, ReplyReceived) and message.attachment == "add":
                     outcome = package.read_outcome(message.reply)
                     answer_texts = {0: "stands", package.REFUSED: "refused", package.FAILED: "failed"}
                     answer.update(
@@ -56,8 +56,8 @@
 
     def run_with_timeout() -> Coroutine[None]:
         try:
-            yield from kernel.within(request.patience + hold + 3 * SECOND, run_call())
-        except (Refused, Lost, BadPeer, TimedOut) as error:
+            yield from kernel.with_timeout(request.patience + hold + 3 * SECOND, run_call())
+        except (ConnectFailed, ConnectionLost, ProtocolViolation, TimedOut) as error:
             answer["text"] = answer["text"] or str(error)
         finally:
             kernel.stop()
--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -102,7 +102,7 @@
     fatal_errors: list[BaseException] = []
 
     def on_crash(name: str, error: BaseException) -> None:
-        log("error", "a coroutine raised", task=name, error=repr(error))
+        log("error", "coroutine raised an exception", task=name, error=repr(error))
         if name == f"agent {settings.label}":  # without its listening port the agent can't work
             fatal_errors.append(error)
             kernel.stop()
@@ -117,7 +117,7 @@
 
     kernel.on_signals((signal.SIGTERM, signal.SIGINT), on_signal)
     if while_stdin:
-        kernel.watch(0, lambda: kernel.stop() if not os.read(0, 4096) else None)
+        kernel.add_reader(0, lambda: kernel.stop() if not os.read(0, 4096) else None)
     call_agent.start()
     kernel.run()
     call_agent.stop()
@@ -161,7 +161,7 @@
     signal.signal(signal.SIGTERM, interrupted)
     try:
         with tempfile.TemporaryDirectory(prefix="peattrestle-") as folder:
-            result = play.play(loaded, kernel or loaded.kernel, Path(folder), say=print_progress)
+            result = play.play(loaded, kernel or loaded.kernel, Path(folder), report_progress=print_progress)
     except play.CouldNotRun as error:
         fail(CANNOT_RUN, error)
     except KeyboardInterrupt:
@@ -206,7 +206,7 @@
     from peattrestle.rehearsal import play
     from peattrestle.rehearsal import report as reports
 
-    result = play.play(drawn.draw(seed), "virtual")
+    result = play.play(drawn.random_script(seed), "virtual")
     if report:
         reports.write(result, Path(report))
     click.echo(reports.table(result))
@@ -247,10 +247,10 @@
     """Requests one call to EXCHANGE from the agent at ADDRESS, and prints the answer."""
     from peattrestle.cli.caller import request_call
     from peattrestle.h248.package import SetUpRequest
-    from peattrestle.runtime.epoll import split
+    from peattrestle.runtime.epoll import split_address
 
     try:
-        split(address)
+        split_address(address)
         patience_ns, hold_ns = schema.parse_duration(patience), schema.parse_duration(hold)
     except ValueError as error:
         fail(INVALID_INPUT, error)
--- a/peattrestle/membership/exchange_list.py
+++ b/peattrestle/membership/exchange_list.py
@@ -39,11 +39,11 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipUpdate:
-    """Changes to publish: `members` whose entry changed (removed ones have the state 'gone'), and `notes`,
-    the messages for the log."""
+    """Changes to publish: `members` whose entry changed (removed ones have the state 'gone'), and
+    `log_messages`, the messages for the log."""
 
     members: tuple[Member, ...] = ()
-    notes: tuple[str, ...] = ()
+    log_messages: tuple[str, ...] = ()
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
     readmit_at: int = 0  # a ready exchange is not published as ready before this
 
 
-class Roll:
+class MembershipTracker:
     """Tracks the exchanges in the registry and returns the changes to publish.
 
     Times are nanoseconds of the caller's clock. `prefix` is the common prefix of the exchanges' keys.
@@ -234,7 +234,7 @@
                 )
         return owners
 
-    def due(self) -> int:
+    def next_due_at(self) -> int:
         """When `advance` must be called even without a change; -1 if nothing is pending."""
         times = [
             exchange.doubtful_since + self.REMOVAL_CONFIRMATION_NS
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -19,7 +19,17 @@
 from dataclasses import dataclass, replace
 
 from peattrestle import interface as api
-from peattrestle.calls.core import ANSWERED, ESTABLISHED, FAILED, OPEN, Call, Core, Final, RouteTry, Unsent
+from peattrestle.calls.core import (
+    ANSWERED,
+    ESTABLISHED,
+    FAILED,
+    OPEN,
+    Call,
+    Core,
+    FinalAnswer,
+    RouteTry,
+    Unsent,
+)
 from peattrestle.calls.core import REFUSED as BLOCKED
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
@@ -200,9 +210,9 @@
 
     def apply_change(self, change: Change) -> None:
         """Applies a change of the exchange list to links, calls, guard and controller."""
-        now, wall_ms = self.kernel.now(), self.kernel.wall() // MS
+        now, wall_ms = self.kernel.now(), self.kernel.wall_time() // MS
         rows = list(change.members)
-        if change.whole:
+        if change.is_full:
             present = {member.exchange for member in rows}
             for name, old in self.members.items():
                 if name not in present:
@@ -235,7 +245,7 @@
                 self.on_exchange_restarted(member.exchange, started_at)
             if member.number != self.own_number and (previous is None or previous.address != member.address):
                 self.update_link(member)
-        self.post(api.ListUpdated("full" if change.whole else "delta", tuple(entries)))
+        self.post(api.ListUpdated("full" if change.is_full else "delta", tuple(entries)))
 
     def update_link(self, member: Member) -> None:
         """Creates or redirects the link of an exchange that is new, back, or at a new address.
@@ -463,7 +473,7 @@
             queue = self.undelivered_releases.setdefault(link.exchange, deque(maxlen=MAX_STORED_RELEASES))
             queue.append((tag, data))
 
-    def reply(self, call: SipCall, final: Final) -> None:
+    def reply(self, call: SipCall, final: FinalAnswer) -> None:
         self.counts.add(("transit_" if call.request.transit else "") + final.kind)
         caller = call.caller
         call.answered = True
@@ -486,7 +496,7 @@
         """Answers a call as failed after its abandon time, since a call without any answer would be lost."""
         if call.answered:
             return False
-        self.reply(call, Final(FAILED))
+        self.reply(call, FinalAnswer(FAILED))
         return True
 
     def on_call_removed(self, call: SipCall) -> None:
@@ -535,15 +545,15 @@
         for tag in list(link.waiting):
             self.fail_try(link.tries[tag], "connect_failed", tell=False, cut_off=False)
 
-    def on_link_refused(self, link: Link, gone: bool) -> None:
+    def on_link_refused(self, link: Link, nothing_listens: bool) -> None:
         """Handles a failed connection attempt.
 
-        `gone`: nothing listens at the address, so the process and its established calls are gone, unless it
-        still sends on the link's other connection.
+        `nothing_listens`: nothing listens at the address, so the process and its established calls are gone,
+        unless it still sends on the link's other connection.
         """
-        self.log("debug", "connection refused", exchange=link.exchange, nothing_listens=gone)
+        self.log("debug", "connection refused", exchange=link.exchange, nothing_listens=nothing_listens)
         self.fail_waiting_tries(link)
-        if gone and not link.is_up:
+        if nothing_listens and not link.is_up:
             self.end_calls_at(link.exchange)
 
     def on_line(self, link: Link, connection: LinkConnection, line: lines.Line) -> None:
@@ -559,7 +569,7 @@
             size = load.get("size", self.group_sizes.get(link.exchange, 0.0))
             if size != self.group_sizes.get(link.exchange) and link.exchange in self.members:
                 self.group_sizes[link.exchange] = size
-                self.guard.carried = sum(self.group_sizes.values()) / self.holding_time
+                self.guard.warm_capacity = sum(self.group_sizes.values()) / self.holding_time
         if verb == "STARTED":
             if route_try is None:
                 self.counts.add("stray_answers")
--- a/peattrestle/platform/config.py
+++ b/peattrestle/platform/config.py
@@ -9,7 +9,7 @@
 
 from peattrestle.feed.sse import BadFeed
 from peattrestle.feed.state import FeedState
-from peattrestle.runtime.epoll import split
+from peattrestle.runtime.epoll import split_address
 from peattrestle.wirehost import parse
 
 MS = 1_000_000  # nanoseconds
@@ -43,7 +43,7 @@
     if not isinstance(value, str):
         raise BadConfig(f"{place}: missing or not a string")
     try:
-        split(value)
+        split_address(value)
     except ValueError as error:
         raise BadConfig(f"{place}: {error}") from None
     return value
@@ -79,7 +79,7 @@
     if not isinstance(raw_settings, dict):
         raise BadConfig("settings: missing or not an object")
     try:
-        settings, _ = parse.settings_of(raw_settings)
+        settings, _ = parse.settings_from(raw_settings)
     except (parse.Malformed, KeyError, TypeError, AttributeError, ValueError) as error:
         raise BadConfig(f"settings: {type(error).__name__}: {error}") from None
     if not settings["bearer_types"]:
--- a/peattrestle/platform/connections.py
+++ b/peattrestle/platform/connections.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from peattrestle.calls.core import Counts, Log
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.runtime.supervise import supervised
 from peattrestle.sip import text as sip
 
@@ -70,7 +70,7 @@
         return not self.has_sent_message and now - self.accepted_at > FIRST_MESSAGE_TIMEOUT
 
 
-class Owner(Protocol):
+class ConnectionObserver(Protocol):
     """Callbacks of the connections."""
 
     def handle_message(self, caller: Caller, message: sip.Message) -> None: ...
@@ -85,11 +85,16 @@
     """
 
     def __init__(
-        self, kernel: Kernel, owner: Owner, counts: Counts, log: Log, max_connections: Callable[[], int]
+        self,
+        kernel: Kernel,
+        observer: ConnectionObserver,
+        counts: Counts,
+        log: Log,
+        max_connections: Callable[[], int],
     ) -> None:
-        self.kernel, self.owner, self.counts, self.log, self.max_connections = (
+        self.kernel, self.observer, self.counts, self.log, self.max_connections = (
             kernel,
-            owner,
+            observer,
             counts,
             log,
             max_connections,
@@ -109,7 +114,7 @@
         while True:
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.add_connection(stream)
 
@@ -164,7 +169,7 @@
                     break
                 if len(data) == READ_SIZE:  # lets other tasks run while a peer sends without pause
                     yield from self.kernel.sleep(DISCARD_PAUSE if caller.close_reason else 0)
-        except Lost as error:
+        except ConnectionLost as error:
             why = str(error)
             caller.was_reset = True
         finally:
@@ -193,12 +198,12 @@
             self.active.move_to_end(caller)
 
     def dispatch(self, caller: Caller, message: sip.Message) -> None:
-        """Passes a message to the owner.
+        """Passes a message to the observer.
 
         An exception in the handler costs only this message, not the open calls of its connection.
         """
         try:
-            self.owner.handle_message(caller, message)
+            self.observer.handle_message(caller, message)
         except Exception as error:
             self.counts.add("message_faults")
             where = "".join(traceback.format_tb(error.__traceback__)[-2:])
@@ -226,8 +231,8 @@
             return
         self.remove(caller, caller.close_reason)
         self.lingering[caller] = None
-        caller.stream.finish()
-        self.kernel.at(self.kernel.now() + LINGER_TIME, caller.stream.close)
+        caller.stream.close_write()
+        self.kernel.call_at(self.kernel.now() + LINGER_TIME, caller.stream.close)
 
     def remove(self, caller: Caller, why: str) -> None:
         """Removes a connection; its open calls need no answer any more."""
@@ -236,7 +241,7 @@
         del self.active[caller]
         open_calls = list(caller.open_calls)
         self.log("debug", "caller connection ended", why=why, peer=caller.stream.peer, open=open_calls)
-        self.owner.on_connection_ended(caller)
+        self.observer.on_connection_ended(caller)
 
     def close_late(self, now: int) -> None:
         """Answers connections whose first or current message is overdue with 408, and closes them."""
@@ -250,7 +255,7 @@
     def stop_listening(self) -> None:
         """Accepts the connections already in the backlog, and then closes the listener."""
         if self.listener is not None:
-            for stream in self.listener.close_and_take():
+            for stream in self.listener.close_and_accept_pending():
                 self.add_connection(stream)
             self.listener = None
 
--- a/peattrestle/platform/follow.py
+++ b/peattrestle/platform/follow.py
@@ -11,7 +11,7 @@
 
 from peattrestle.feed.sse import BadFeed, EventStreamParser
 from peattrestle.feed.state import Change, FeedState, ResumeRequired
-from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream, Task
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel, Stream, Task
 from peattrestle.runtime.supervise import supervised
 
 MS = 1_000_000  # nanoseconds
@@ -40,7 +40,7 @@
             on_change,
             log,
         )
-        self.rng = kernel.chance("feed")
+        self.rng = kernel.random_for("feed")
         self.stream: Stream | None = None
         self.last_byte_at = 0
         self.idle_timeout = IDLE_TIMEOUT  # without a byte, before a request is given up
@@ -62,7 +62,7 @@
             last = self.state.last
             try:
                 stream = yield from self.kernel.connect(self.address, DIAL_TIMEOUT)
-            except (Refused, ValueError) as error:
+            except (ConnectFailed, ValueError) as error:
                 why = str(error)
             else:
                 self.stream = stream
@@ -112,7 +112,7 @@
                                 self.on_change(change)
                     elif isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)) or event is h11.PAUSED:
                         return "the feed ended the response"
-        except (Lost, BadFeed, ResumeRequired, h11.RemoteProtocolError) as error:
+        except (ConnectionLost, BadFeed, ResumeRequired, h11.RemoteProtocolError) as error:
             return str(error)
         finally:
             watchdog.cancel()
--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -1,8 +1,8 @@
 """The TCP connections to one exchange: connecting, liveness probes, and reconnecting with random backoff.
 
 A link only tracks whether it is connected and whether the exchange sends on the connection; the lines
-received go to the owner. A release with an error cause does not count as a sign of life, because a proxy in
-front of a vanished machine keeps answering invalid set-ups with such errors.
+received go to the observer. A release with an error cause does not count as a sign of life, because a proxy
+in front of a vanished machine keeps answering invalid set-ups with such errors.
 
 A link has two connections, so that a corrupted, reset or silently dropped one affects only its part of the
 pending set-ups. A connection may go silent while its exchange is healthy. It is probed after being quiet for
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from peattrestle.exchangeline import lines
-from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel, Stream
 from peattrestle.runtime.supervise import supervised
 
 if TYPE_CHECKING:
@@ -37,14 +37,14 @@
 UNCONFIRMED_RETENTION = 3_000 * MS  # longer than it takes to detect a silent connection
 
 
-class Owner(Protocol):
+class LinkObserver(Protocol):
     """Callbacks of a link."""
 
     def on_link_up(self, link: Link) -> None: ...
     def on_link_lost(
         self, link: Link, tries: list[LinkTry], unconfirmed: list[tuple[str, bytes]], why: str
     ) -> None: ...
-    def on_link_refused(self, link: Link, gone: bool) -> None: ...
+    def on_link_refused(self, link: Link, nothing_listens: bool) -> None: ...
     def on_line(self, link: Link, connection: LinkConnection, line: lines.Line) -> None: ...
 
 
@@ -58,7 +58,7 @@
         self.pending_count = self.missed_reports = 0
         self.last_received_at = self.probed_at = 0
         self.average_gap = INITIAL_GAP
-        self.rng = self.kernel.chance(f"link/{link.exchange}/{index}")
+        self.rng = self.kernel.random_for(f"link/{link.exchange}/{index}")
         self.start()
 
     def start(self) -> None:
@@ -79,9 +79,9 @@
             has_received = False
             try:
                 stream = yield from self.kernel.connect(link.address, link.dial_timeout)
-            except (Refused, ValueError) as error:
+            except (ConnectFailed, ValueError) as error:
                 link.connect_failed = True
-                link.owner.on_link_refused(link, "ECONNREFUSED" in str(error))
+                link.observer.on_link_refused(link, "ECONNREFUSED" in str(error))
             else:
                 try:
                     why = "link closed" if link.is_closing else (yield from self.receive_lines(stream))
@@ -118,12 +118,12 @@
                 while (line := reader.next()) is not None:
                     if line.verb != "FINISH" or line.rc not in lines.ERROR_CAUSES:
                         self.on_received(line.verb == "LOAD")
-                    self.link.owner.on_line(self.link, self, line)
+                    self.link.observer.on_line(self.link, self, line)
                 if stream.unsent > MAX_UNSENT_BYTES:
                     return f"the exchange left {stream.unsent} bytes unread"
                 if len(data) == 65536:
                     yield from self.kernel.sleep(0)  # lets other tasks run while a peer sends without pause
-        except Lost as error:
+        except ConnectionLost as error:
             return str(error)
         except lines.BadLine as error:
             return f"bad line: {error}"
@@ -164,7 +164,7 @@
             if self.stream is stream and self.probed_at == probed_at:
                 stream.abort()
 
-        self.kernel.at(probed_at + timeout, check_probe)
+        self.kernel.call_at(probed_at + timeout, check_probe)
 
     def watch_silence(self, stream: Stream) -> Coroutine[None]:
         """Probes a quiet connection, since a vanished host or a dropped flow produces no TCP error."""
@@ -177,7 +177,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Unconfirmed:
+class UnconfirmedRelease:
     """A release written to `connection` at `sent_at` that the exchange has not confirmed."""
 
     connection: LinkConnection
@@ -193,13 +193,15 @@
     `address`. `retired`: the exchange left the list and is not connected to again.
     """
 
-    def __init__(self, kernel: Kernel, owner: Owner, exchange: str, address: str, dial_timeout: int) -> None:
-        self.kernel, self.owner, self.exchange, self.address = kernel, owner, exchange, address
+    def __init__(
+        self, kernel: Kernel, observer: LinkObserver, exchange: str, address: str, dial_timeout: int
+    ) -> None:
+        self.kernel, self.observer, self.exchange, self.address = kernel, observer, exchange, address
         self.dial_timeout = dial_timeout
         self.connect_failed = self.closing = self.retired = False
         self.tries: dict[str, LinkTry] = {}
         self.waiting: dict[str, bytes] = {}
-        self.unconfirmed: dict[str, Unconfirmed] = {}
+        self.unconfirmed: dict[str, UnconfirmedRelease] = {}
         self.last_received_at = kernel.now()
         self.connections = [LinkConnection(self, index) for index in range(CONNECTIONS_PER_LINK)]
 
@@ -234,14 +236,14 @@
         """Handles a sign of life. `is_first`: the first one on a new connection."""
         self.last_received_at, self.connect_failed = connection.last_received_at, False
         if is_first:
-            self.owner.on_link_up(self)
+            self.observer.on_link_up(self)
         if report:
             for other in self.connections:
                 if other is not connection:
                     other.on_report_missed()
 
     def on_lost(self, connection: LinkConnection, why: str) -> None:
-        """Passes the tries and unconfirmed releases of a lost connection to the owner."""
+        """Passes the tries and unconfirmed releases of a lost connection to the observer."""
         connection.pending_count = 0
         tries = [route_try for route_try in self.tries.values() if route_try.connection is connection]
         lost = [
@@ -251,7 +253,7 @@
         ]
         for tag, _ in lost:
             del self.unconfirmed[tag]
-        self.owner.on_link_lost(self, tries, lost, why)
+        self.observer.on_link_lost(self, tries, lost, why)
 
     def send_set_up(self, route_try: LinkTry, tag: str, data: bytes) -> None:
         """Sends a set-up, or queues it without a connection.
@@ -283,14 +285,14 @@
         """Sends the release of an established call on the connection heard from last; False without one.
 
         A connection that is cut off still accepts bytes for a while. The release is therefore kept until the
-        exchange confirms it, and given back to the owner if the connection is lost before that.
+        exchange confirms it, and given back to the observer if the connection is lost before that.
         """
         connections = [connection for connection in self.connections if connection.is_up]
         if not connections:
             return False
         connection = max(connections, key=lambda connection: connection.last_received_at)
         connection.write(data)
-        self.unconfirmed[tag] = Unconfirmed(connection, data, self.kernel.now())
+        self.unconfirmed[tag] = UnconfirmedRelease(connection, data, self.kernel.now())
         return True
 
     def expire_unconfirmed(self, now: int) -> None:
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -1,7 +1,7 @@
 """Decides how to follow all keys with a prefix: one full read, then a watch from the next revision on.
 
-This module decides what may be lost or repeated when connections break. `held` is the registry's content at
-`revision`: every revision is applied once and in order. The states:
+This module decides what may be lost or repeated when connections break. `contents` is the registry's content
+at `revision`: every revision is applied once and in order. The states:
 
 | state | meaning | ends with |
 | --- | --- | --- |
@@ -15,7 +15,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from peattrestle.registry.etcd import Event, Failed, Range, WatchResponse
+from peattrestle.registry.etcd import ErrorAnswer, Event, Range, WatchResponse
 from peattrestle.registry.http import BadAnswer
 
 SECOND = 1_000_000_000  # nanoseconds
@@ -55,15 +55,15 @@
 class Apply:
     """Action: apply the changes of one or more revisions, complete up to `revision`.
 
-    `whole`: they come from a full read, so the revisions in between are unknown. `strange`: how the registry
-    differs from the one followed before (its revision went back, or it is another cluster); empty if it is
-    the same.
+    `is_full_read`: they come from a full read, so the revisions in between are unknown. `replaced_reason`:
+    how the registry differs from the one followed before (its revision went back, or it is another cluster);
+    empty if it is the same.
     """
 
     changes: tuple[Change, ...]
     revision: int
-    whole: bool = False
-    strange: str = ""
+    is_full_read: bool = False
+    replaced_reason: str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -101,20 +101,20 @@
 class Follower:
     """Takes the registry's answers and returns the actions to carry out.
 
-    `least`, `most`: bounds of the retry delay in nanoseconds. The delay doubles with each failure, and the
-    time actually waited is drawn from half of it to all of it.
+    `min_retry_delay`, `max_retry_delay`: bounds of the retry delay in nanoseconds. The delay doubles with
+    each failure, and the time actually waited is drawn from half of it to all of it.
     """
 
     MAX_FRAGMENTED_EVENTS = 100_000  # events of one fragmented message
     MAX_RECENT_EVENTS = 10_000  # events remembered, to tell a repeated event from one delivered out of order
 
-    def __init__(self, least: int = SECOND // 10, most: int = 5 * SECOND) -> None:
-        self.least, self.most = least, most
+    def __init__(self, min_retry_delay: int = SECOND // 10, max_retry_delay: int = 5 * SECOND) -> None:
+        self.min_retry_delay, self.max_retry_delay = min_retry_delay, max_retry_delay
         self.state = AWAY
         self.cluster = self.revision = 0
-        self.held: dict[bytes, HeldValue] = {}
+        self.contents: dict[bytes, HeldValue] = {}
         self.counts = Counts()
-        self._retry_delay = least
+        self._retry_delay = min_retry_delay
         self._fragments: list[Event] = []
         self._recent_events: OrderedDict[tuple[bytes, int], None] = OrderedDict()
         self._needs_read = True  # otherwise the watch resumes after `revision`
@@ -139,10 +139,10 @@
         self.state = AWAY
         self._fragments.clear()
         length = round(self._retry_delay * (1 + chance) / 2)
-        self._retry_delay = min(2 * self._retry_delay, self.most)
+        self._retry_delay = min(2 * self._retry_delay, self.max_retry_delay)
         return [Wait(length)]
 
-    def on_error(self, error: Failed, chance: float) -> list[Action]:
+    def on_error(self, error: ErrorAnswer, chance: float) -> list[Action]:
         """Handles an error answer. A compacted watch is followed by a full read at once; after any other
         error the follower waits as in `on_connection_lost`."""
         if error.compacted and self.state == WATCHING:
@@ -163,24 +163,24 @@
             raise BadAnswer("range: an answer to a read that was not requested")
         if answer.more:
             raise BadAnswer("range: the answer is incomplete, there are more keys")
-        strange = self._difference(answer.header.cluster_id, answer.header.revision)
-        if strange:
+        replaced_reason = self._difference(answer.header.cluster_id, answer.header.revision)
+        if replaced_reason:
             self._recent_events.clear()  # revision numbers of another history
         present = {pair.key: pair for pair in answer.kvs}
-        changes = [Change(key, None, answer.header.revision) for key in self.held if key not in present]
+        changes = [Change(key, None, answer.header.revision) for key in self.contents if key not in present]
         for key, pair in present.items():
-            before = self.held.get(key)
+            before = self.contents.get(key)
             if before is None or (before.value, before.created) != (pair.value, pair.create_revision):
                 changes.append(Change(key, pair.value, pair.mod_revision, pair.create_revision))
-            self.held[key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
+            self.contents[key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
         for change in changes:
             if change.value is None:
-                del self.held[change.key]
+                del self.contents[change.key]
         changes.sort(key=lambda change: change.revision)
         self.cluster, self.revision = answer.header.cluster_id, answer.header.revision
         self.counts.applied += len(changes)
-        self._needs_read, self._retry_delay = False, self.least
-        return [Apply(tuple(changes), self.revision, True, strange), *self.start_request()]
+        self._needs_read, self._retry_delay = False, self.min_retry_delay
+        return [Apply(tuple(changes), self.revision, True, replaced_reason), *self.start_request()]
 
     def _difference(self, cluster: int, revision: int) -> str:
         """How an answer shows another registry or an older copy of it; empty if it does not."""
@@ -201,7 +201,7 @@
             return self._restart_with_read()
         if response.created:
             return []  # its header has the registry's revision, not the progress of this watch
-        self._retry_delay = self.least
+        self._retry_delay = self.min_retry_delay
         if response.fragment:
             self._fragments += response.events
             if len(self._fragments) > self.MAX_FRAGMENTED_EVENTS:
@@ -225,10 +225,10 @@
                 continue
             self._recent_events[pair.key, pair.mod_revision] = None
             if event.type == "DELETE":
-                if self.held.pop(pair.key, None) is not None:
+                if self.contents.pop(pair.key, None) is not None:
                     changes.append(Change(pair.key, None, pair.mod_revision))
             else:
-                self.held[pair.key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
+                self.contents[pair.key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
                 changes.append(Change(pair.key, pair.value, pair.mod_revision, pair.create_revision))
         while len(self._recent_events) > self.MAX_RECENT_EVENTS:
             self._recent_events.popitem(last=False)
--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -76,7 +76,7 @@
     """One run of a script on the kernel named 'virtual' or 'epoll'.
 
     `folder`: for the files of agents that run as processes, needed with 'epoll'. `agent_factory`: builds an
-    agent on the virtual kernel. `say`: receives progress messages.
+    agent on the virtual kernel. `report_progress`: receives progress messages.
     """
 
     def __init__(
@@ -85,9 +85,9 @@
         kernel: str,
         folder: Path | None = None,
         agent_factory: AgentFactory = CallAgent,
-        say: Callable[[str], None] = lambda text: None,
+        report_progress: Callable[[str], None] = lambda text: None,
     ) -> None:
-        self.script, self.say = script, say
+        self.script, self.report_progress = script, report_progress
         self.kernel: VirtualKernel | EpollKernel
         self.kernel = VirtualKernel(script.seed) if kernel == "virtual" else EpollKernel(script.seed)
         self.world = World(self.kernel, script)
@@ -135,9 +135,9 @@
         yield from kernel.sleep(500 * MS)  # trunk groups are reported once the agents are connected
         started = self.started = kernel.now()
         kernel.spawn(self.sampler.run(), "sampler")
-        self.say(f"{script.fleet.exchanges} agents ready")
+        self.report_progress(f"{script.fleet.exchanges} agents ready")
         for step in script.load:
-            kernel.at(started + step.at, lambda step=step: self.set_level(step.level))  # type: ignore[misc]
+            kernel.call_at(started + step.at, lambda step=step: self.set_level(step.level))  # type: ignore[misc]
         world.set_rates()
         self.troubles.schedule(script.trouble, started)
         arrivals = [
@@ -149,7 +149,7 @@
                 break
         for task in arrivals:
             task.cancel()
-        self.say("all calls offered; waiting for them to end")
+        self.report_progress("all calls offered; waiting for them to end")
         troubles_end = max((trouble.at + trouble.length for trouble in script.trouble), default=0) + started
         deadline = max(kernel.now(), troubles_end) + 30 * SECOND
         while kernel.now() < deadline and (
@@ -164,8 +164,8 @@
                 gateway.hang_up(attempt)
         yield from kernel.sleep(5 * SECOND)  # time for releases to be confirmed or repeated
         world.record_cold_load()
-        self.leaks = world.fabric.leaks() + sum(
-            1 for exchange in world.fabric.exchanges.values() for _ in exchange.circuits_in_use()
+        self.leaks = world.network.leaks() + sum(
+            1 for exchange in world.network.exchanges.values() for _ in exchange.circuits_in_use()
         )
         self.agents = self.hosts.counts()
         kernel.stop()
@@ -256,8 +256,8 @@
         if requirements.back_to and troubles:
             first = min(trouble.at for trouble in troubles) // SECOND
             ended = -(-max(trouble.at + trouble.length for trouble in troubles) // SECOND)
-            service_before = series.over(max(0, first - 10), first)
-            recovery = series.back_after(service_before, requirements.back_to, ended, 5)
+            service_before = series.mean_service(max(0, first - 10), first)
+            recovery = series.recovery_seconds(service_before, requirements.back_to, ended, 5)
             text = f"{recovery} s after the last trouble" if recovery >= 0 else "not at all"
             checks.append(
                 Check(
@@ -315,10 +315,10 @@
     kernel: str,
     folder: Path | None = None,
     agent_factory: AgentFactory = CallAgent,
-    say: Callable[[str], None] = lambda text: None,
+    report_progress: Callable[[str], None] = lambda text: None,
     seed: int | None = None,
 ) -> Result:
     """Plays a script, with another seed where `seed` is given; see `Player`. Raises CouldNotRun."""
     if seed is not None:
         script = replace(script, seed=seed)
-    return Player(script, kernel, folder, agent_factory, say).play()
+    return Player(script, kernel, folder, agent_factory, report_progress).play()
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -7,8 +7,8 @@
 
 from peattrestle.rehearsal.script import Trouble
 from peattrestle.rehearsal.world import World
-from peattrestle.runtime import Coroutine, Lost, Refused
-from peattrestle.standin.exchange import StandinExchange
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine
+from peattrestle.standin.exchange import SimulatedExchange
 
 MS = 1_000_000
 SECOND = 1_000_000_000
@@ -31,13 +31,13 @@
     def __init__(self, world: World, hosts: Hosts) -> None:
         self.world, self.hosts = world, hosts
         self.kernel = world.kernel
-        self.draw = world.kernel.chance("troubles")
+        self.draw = world.kernel.random_for("troubles")
         self.begun: dict[str, int] = {}
 
     def schedule(self, troubles: tuple[Trouble, ...], started: int) -> None:
         """Schedules `troubles`, whose times count from `started`."""
         for trouble in troubles:
-            self.kernel.at(started + trouble.at, lambda trouble=trouble: self.begin(trouble))  # type: ignore[misc]
+            self.kernel.call_at(started + trouble.at, lambda trouble=trouble: self.begin(trouble))  # type: ignore[misc]
 
     def exchange_numbers(self, trouble: Trouble) -> list[int]:
         """The numbers of the exchanges concerned: those named, or a random share of all."""
@@ -51,10 +51,10 @@
         self.begun[trouble.kind] = self.begun.get(trouble.kind, 0) + 1
         end = getattr(self, f"begin_{trouble.kind}")(trouble)
         if end is not None:
-            self.kernel.at(self.kernel.now() + trouble.length, end)
+            self.kernel.call_at(self.kernel.now() + trouble.length, end)
 
-    def _exchanges(self, trouble: Trouble) -> list[StandinExchange]:
-        return [self.world.fabric.exchanges[number] for number in self.exchange_numbers(trouble)]
+    def _exchanges(self, trouble: Trouble) -> list[SimulatedExchange]:
+        return [self.world.network.exchanges[number] for number in self.exchange_numbers(trouble)]
 
     # Processors.
 
@@ -106,7 +106,7 @@
                 for exchange in exchanges:
                     exchange.processor.slowdown *= 1.25
 
-            self.kernel.at(self.kernel.now() + trouble.length * step // steps, slow_down)
+            self.kernel.call_at(self.kernel.now() + trouble.length * step // steps, slow_down)
 
         def crash_and_restart() -> None:
             for exchange in exchanges:
@@ -139,22 +139,22 @@
 
     def begin_answers_lost(self, trouble: Trouble) -> Callable[[], None]:
         """The share `figure` of the answers to set-ups is never sent."""
-        self.world.fabric.answers_lost = min(1.0, trouble.figure)
+        self.world.network.answers_lost = min(1.0, trouble.figure)
 
         def end() -> None:
-            self.world.fabric.answers_lost = 0.0
+            self.world.network.answers_lost = 0.0
 
         return end
 
     def begin_region_cut(self, trouble: Trouble) -> Callable[[], None]:
         """Exchanges of a region and those of other regions cannot reach each other."""
-        fabric, regions = self.world.fabric, self.world.script.fleet.regions
+        network, regions = self.world.network, self.world.script.fleet.regions
         region = trouble.region or self.draw.choice(regions)
-        fabric.cut_regions.add(region)
+        network.cut_regions.add(region)
 
         def end_cut() -> None:
-            fabric.cut_regions.discard(region)
-            fabric.heal()
+            network.cut_regions.discard(region)
+            network.heal()
 
         return end_cut
 
@@ -163,34 +163,34 @@
 
         Established calls are cut until those left fit.
         """
-        fabric, regions = self.world.fabric, self.world.script.fleet.regions
+        network, regions = self.world.network, self.world.script.fleet.regions
         region = trouble.region or self.draw.choice(regions)
         groups = [
             group
-            for group in fabric.groups.values()
-            if (fabric.regions[group.ends[0]] == region) != (fabric.regions[group.ends[1]] == region)
+            for group in network.groups.values()
+            if (network.regions[group.ends[0]] == region) != (network.regions[group.ends[1]] == region)
         ]
         for group in groups:
             group.out_of_service = group.size - round(group.size * min(1.0, trouble.figure))
-            excess = group.taken - group.working()
+            excess = group.in_use - group.working()
             for number in group.ends:
-                exchange = fabric.exchanges[number]
+                exchange = network.exchanges[number]
                 for peer, call in exchange.established_calls():
                     if excess > 0 and peer.number in group.ends and call.has_circuits:
                         excess -= call.request.width
                         exchange.cut_call(peer, call)
-            fabric.schedule_report(group)
+            network.schedule_report(group)
 
         def restore() -> None:
             for group in groups:
                 group.out_of_service = 0
-                fabric.schedule_report(group)
+                network.schedule_report(group)
 
         return restore
 
     def begin_cut_calls(self, trouble: Trouble) -> None:
         """The share `figure` of the established calls is cut."""
-        for exchange in list(self.world.fabric.exchanges.values()):
+        for exchange in list(self.world.network.exchanges.values()):
             for peer, call in exchange.established_calls():
                 if self.draw.random() < trouble.figure:
                     exchange.cut_call(peer, call)
@@ -234,7 +234,7 @@
         """The share `figure` of all calls goes to one number, which has 3 lines."""
         destination = self.exchange_numbers(trouble)[0]
         number = f"hot.{destination}"
-        self.world.fabric.line_limits[number] = 3
+        self.world.network.line_limits[number] = 3
         for gateway in self.world.gateways:
             gateway.traffic.hot_number = (number, destination, min(1.0, trouble.figure))
 
@@ -246,19 +246,19 @@
 
     def begin_early_leavers(self, trouble: Trouble) -> Callable[[], None]:
         """The share `figure` of the callers gives up early."""
-        self.world.habits.leaves_early = min(1.0, trouble.figure)
+        self.world.behaviour.leaves_early = min(1.0, trouble.figure)
 
         def end() -> None:
-            self.world.habits.leaves_early = 0.0
+            self.world.behaviour.leaves_early = 0.0
 
         return end
 
     def begin_repeats(self, trouble: Trouble) -> Callable[[], None]:
         """Gateways send the share `figure` of their requests twice."""
-        self.world.habits.repeats = min(1.0, trouble.figure)
+        self.world.behaviour.repeats = min(1.0, trouble.figure)
 
         def end() -> None:
-            self.world.habits.repeats = 0.0
+            self.world.behaviour.repeats = 0.0
 
         return end
 
@@ -275,7 +275,7 @@
         last_gateways = {gateway.number: gateway for gateway in self.world.gateways}
         gateways = [gateway for number, gateway in last_gateways.items() if number in numbers]
         for gateway in gateways:
-            gateway.is_flooding = gateway.flooded = True
+            gateway.is_flooding = gateway.has_flooded = True
             gateway.rate_multiple = max(1.0, trouble.figure)
         self.world.set_rates()
 
@@ -299,11 +299,11 @@
         """Sets a socket fault of the exchanges, by its attribute name."""
         exchanges = self._exchanges(trouble)
         for exchange in exchanges:
-            setattr(exchange.flags, fault, active)
+            setattr(exchange.socket_faults, fault, active)
 
         def end() -> None:
             for exchange in exchanges:
-                setattr(exchange.flags, fault, inactive)
+                setattr(exchange.socket_faults, fault, inactive)
 
         return end
 
@@ -354,5 +354,5 @@
                 stream.write(message)
                 yield from self.kernel.sleep(100 * MS)
                 stream.close()
-            except (Lost, Refused):
+            except (ConnectionLost, ConnectFailed):
                 pass
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -8,9 +8,9 @@
 from peattrestle.rehearsal.script import Script
 from peattrestle.runtime import Kernel
 from peattrestle.settings import agent as settings
-from peattrestle.standin.callers import BearerProfile, Gateway, Habits, Traffic
-from peattrestle.standin.exchange import StandinExchange
-from peattrestle.standin.fabric import Fabric, ProcessorSettings
+from peattrestle.standin.callers import BearerProfile, CallerBehaviour, Gateway, Traffic
+from peattrestle.standin.exchange import SimulatedExchange
+from peattrestle.standin.exchange_network import ExchangeNetwork, ProcessorSettings
 from peattrestle.standin.list_source import ListSource
 from peattrestle.standin.record import Record
 from peattrestle.standin.registry_list_source import RegistryListSource
@@ -37,7 +37,7 @@
             + defaults.release_work
         )
         scale = fleet.busy * SECOND / (fleet.calls_a_second * work_per_call)
-        self.fabric = Fabric(
+        self.network = ExchangeNetwork(
             kernel,
             self.record,
             ProcessorSettings(
@@ -67,16 +67,16 @@
         ]
         self.weights = self._plan(count)
         for number in range(count):
-            self.fabric.regions[number] = fleet.regions[number % len(fleet.regions)]
+            self.network.regions[number] = fleet.regions[number % len(fleet.regions)]
         source = RegistryListSource if fleet.registry else ListSource
         self.exchange_list: RegistryListSource | ListSource = source(
             kernel, self.record, "127.0.0.1:0", fleet.list_late_least, fleet.list_late_most
         )
-        self.exchange_list.regions = self.fabric.regions
+        self.exchange_list.regions = self.network.regions
         self.replacements = 0
         for number in range(count):
             self.add_exchange(number, cold=False)
-        habits = Habits(
+        behaviour = CallerBehaviour(
             script.callers.patience_least,
             script.callers.patience_most,
             script.callers.redials,
@@ -90,7 +90,7 @@
             restart_most=script.callers.restart_most,
         )
         self.gateways: list[Gateway] = []
-        self.habits = habits
+        self.behaviour = behaviour
         self.level = 1.0
         self.surges: dict[str, tuple[set[int], float]] = {}
         self.offered = 0
@@ -100,7 +100,7 @@
 
         Groups have some spare circuits; the pairs with the least traffic have no group.
         """
-        fleet, draw = self.script.fleet, self.kernel.chance("plan")
+        fleet, draw = self.script.fleet, self.kernel.random_for("plan")
         weights: list[dict[int, float]] = []
         for number in range(count):
             row = {other: math.exp(draw.gauss(0, 0.6)) for other in range(count) if other != number}
@@ -118,17 +118,19 @@
         unconnected = set(sorted(pairs, key=lambda pair: pairs[pair])[: int(fleet.no_group * len(pairs))])
         for (exchange, other), erlangs in pairs.items():
             if (exchange, other) not in unconnected:
-                self.fabric.add_group(
+                self.network.add_group(
                     exchange, other, math.ceil(erlangs * fleet.spare + math.sqrt(erlangs) + 2)
                 )
         return weights
 
-    def add_exchange(self, number: int, cold: bool) -> StandinExchange:
+    def add_exchange(self, number: int, cold: bool) -> SimulatedExchange:
         """Starts an exchange and lists it as ready; a cold one replaces another of the same number."""
         self.replacements += cold
         name = f"x{number}" + (f"r{self.replacements}" if cold else "")
-        exchange = StandinExchange(self.kernel, self.fabric, name, number, "127.0.0.1:0", f"a{number}", cold)
-        self.fabric.exchanges[number] = exchange
+        exchange = SimulatedExchange(
+            self.kernel, self.network, name, number, "127.0.0.1:0", f"a{number}", cold
+        )
+        self.network.exchanges[number] = exchange
         self.exchange_list.set_state(exchange, "ready")
         return exchange
 
@@ -166,7 +168,7 @@
     def add_gateways(self, number: int, address: str) -> None:
         """Starts the gateways of an exchange, connected to the agent at `address`."""
         for place in range(self.script.fleet.gateways):
-            traffic = Traffic(0.0, self.weights[number], self.bearers, self.habits)
+            traffic = Traffic(0.0, self.weights[number], self.bearers, self.behaviour)
             self.gateways.append(
                 Gateway(self.kernel, self.record, number, f"a{number}", lambda: address, traffic, place)
             )
--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -13,13 +13,23 @@
 from collections.abc import Callable
 from typing import Any
 
-from peattrestle.runtime.kernel import MS, SECOND, Coroutine, Kernel, Listener, Lost, Refused, Stream, Waiter
+from peattrestle.runtime.kernel import (
+    MS,
+    SECOND,
+    ConnectFailed,
+    ConnectionLost,
+    Coroutine,
+    Kernel,
+    Listener,
+    Stream,
+    Waiter,
+)
 
 READABLE, WRITABLE = select.EPOLLIN | select.EPOLLRDHUP, select.EPOLLOUT
 HUNG_UP = select.EPOLLHUP | select.EPOLLERR
 
 
-def split(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
     """Splits a loopback address into host and port. Raises ValueError."""
     host, colon, port = address.rpartition(":")
     if not colon or not port.isdigit() or int(port) > 65535:
@@ -102,7 +112,7 @@
     def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         while True:
             if self.handle.fd < 0:
-                raise Lost(self._lost_reason or "closed locally")
+                raise ConnectionLost(self._lost_reason or "closed locally")
             try:
                 data: bytes = self.handle.sock.recv(max_bytes)
                 return data
@@ -110,7 +120,7 @@
                 pass
             except OSError as error:
                 self._handle_socket_error(error)
-                raise Lost(self._lost_reason) from None
+                raise ConnectionLost(self._lost_reason) from None
             if self._reader is not None:
                 raise RuntimeError("two coroutines read one stream")
             waiter = self._reader = Waiter(self.kernel)
@@ -161,9 +171,9 @@
             self._drainers.append((below, waiter))
             yield waiter
         if self._lost_reason:
-            raise Lost(self._lost_reason)
+            raise ConnectionLost(self._lost_reason)
 
-    def finish(self) -> None:
+    def close_write(self) -> None:
         self._finishing = True
         self.kernel.at_turn_end(self._flush)
 
@@ -174,7 +184,7 @@
     def _shut(self) -> None:
         self.handle.close()
         self._out, self.unsent = [], 0
-        error = Lost(self._lost_reason or "closed locally")
+        error = ConnectionLost(self._lost_reason or "closed locally")
         if self._reader is not None:
             self._reader.fail(error)
             self._reader = None
@@ -223,7 +233,7 @@
     def accept(self) -> Coroutine[Stream]:
         while True:
             if self.handle.fd < 0:
-                raise Lost("closed locally")
+                raise ConnectionLost("closed locally")
             try:
                 sock, (host, port) = self.handle.sock.accept()
             except BlockingIOError:
@@ -239,11 +249,11 @@
                     self._shed_one()
                     yield from self.kernel.sleep(self.PAUSE)
                 elif error.errno not in (errno.ECONNABORTED, errno.EPROTO, errno.EINTR):
-                    raise Lost(str(error)) from None
+                    raise ConnectionLost(str(error)) from None
             else:
                 return self.kernel.adopt(sock, f"{host}:{port}")
 
-    def close_and_take(self) -> list[Stream]:
+    def close_and_accept_pending(self) -> list[Stream]:
         accepted: list[Stream] = []
         while self.handle.fd >= 0:
             try:
@@ -266,7 +276,7 @@
 
     def close(self) -> None:
         if self._waiter is not None:
-            self._waiter.fail(Lost("closed locally"))
+            self._waiter.fail(ConnectionLost("closed locally"))
             self._waiter = None
         self.handle.close()
         if self._spare_descriptor >= 0:
@@ -287,7 +297,7 @@
     def now(self) -> int:
         return time.monotonic_ns()
 
-    def wall(self) -> int:
+    def wall_time(self) -> int:
         return time.time_ns()
 
     def adopt(self, sock: socket.socket, peer: str) -> EpollStream:
@@ -299,7 +309,7 @@
 
     def listen(self, address: str, backlog: int = 512) -> EpollListener:
         """Opens a port. Raises OSError if it is in use, ValueError if the address is invalid."""
-        host_port = split(address)
+        host_port = split_address(address)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -311,18 +321,20 @@
             raise
         return EpollListener(self, sock)
 
-    def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
-        host_port = split(address)
+    def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
+        host_port = split_address(address)
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
-            raise Refused(f"{address}: {error}") from None
+            raise ConnectFailed(f"{address}: {error}") from None
         sock.setblocking(False)
         error_code = sock.connect_ex(host_port)
         if error_code == errno.EINPROGRESS:
             waiter = Waiter(self)
             handle = Handle(self, sock, waiter.set)
-            timer = self.at(self.now() + within, lambda: waiter.fail(Refused(f"{address}: no answer")))
+            timer = self.call_at(
+                self.now() + timeout, lambda: waiter.fail(ConnectFailed(f"{address}: no answer"))
+            )
             try:
                 handle.set_mask(WRITABLE)
                 yield waiter
@@ -335,7 +347,7 @@
             handle.set_mask(0)
         if error_code:
             sock.close()
-            raise Refused(f"{address}: {errno.errorcode.get(error_code, error_code)}")
+            raise ConnectFailed(f"{address}: {errno.errorcode.get(error_code, error_code)}")
         return self.adopt(sock, address)
 
     def run(self, until: int | None = None) -> None:
@@ -357,7 +369,7 @@
                     handle.on_event(mask)
             self.fire_timers(self.now())
 
-    def watch(self, fd: int, action: Callable[[], None]) -> None:
+    def add_reader(self, fd: int, action: Callable[[], None]) -> None:
         """Calls `action` each time `fd` is readable, which includes its end of file."""
         handle = Handle(self, _BorrowedDescriptor(fd), lambda mask: action())
         handle.set_mask(select.EPOLLIN)
@@ -378,7 +390,7 @@
                     if number in numbers:
                         action(number)
 
-        self.watch(receiver.fileno(), on_readable)
+        self.add_reader(receiver.fileno(), on_readable)
 
     def close(self) -> None:
         super().close()
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -22,11 +22,11 @@
     """Thrown into a cancelled coroutine; not an `Exception`, so that no broad handler catches it."""
 
 
-class Lost(Exception):
+class ConnectionLost(Exception):
     """The connection was reset, or its peer vanished."""
 
 
-class Refused(Exception):
+class ConnectFailed(Exception):
     """No connection could be made."""
 
 
@@ -67,8 +67,8 @@
 class Task(Generic[T]):
     """A running coroutine.
 
-    `watch`: if it raises and nobody has joined it, the error is reported to the kernel; otherwise it is only
-    kept in `error`.
+    `report_errors`: if it raises and nobody has joined it, the error is reported to the kernel; otherwise it
+    is only kept in `error`.
     """
 
     __slots__ = (
@@ -81,11 +81,11 @@
         "error",
         "join_waiters",
         "cancel_pending",
-        "watch",
+        "report_errors",
     )
 
-    def __init__(self, kernel: Kernel, body: Coroutine[T], name: str, watch: bool) -> None:
-        self.kernel, self.body, self.name, self.watch = kernel, body, name, watch
+    def __init__(self, kernel: Kernel, body: Coroutine[T], name: str, report_errors: bool) -> None:
+        self.kernel, self.body, self.name, self.report_errors = kernel, body, name, report_errors
         self.waiter: Waiter | None = None
         self.done = False
         self.result: T | None = None
@@ -150,7 +150,12 @@
         self.kernel.tasks.pop(self, None)
         for waiter in self.join_waiters:
             waiter.set()
-        if error is not None and not isinstance(error, Cancelled) and self.watch and not self.join_waiters:
+        if (
+            error is not None
+            and not isinstance(error, Cancelled)
+            and self.report_errors
+            and not self.join_waiters
+        ):
             self.kernel.report_crash(self, error)
 
 
@@ -259,7 +264,7 @@
     def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         """Returns at least one byte and at most `max_bytes`, b'' once the peer has closed its side.
 
-        Raises `Lost`.
+        Raises `ConnectionLost`.
         """
         raise NotImplementedError
 
@@ -271,10 +276,10 @@
         raise NotImplementedError
 
     def drain(self, below: int = 65536) -> Coroutine[None]:
-        """Waits until fewer than `below` bytes are unsent. Raises `Lost`."""
+        """Waits until fewer than `below` bytes are unsent. Raises `ConnectionLost`."""
         raise NotImplementedError
 
-    def finish(self) -> None:
+    def close_write(self) -> None:
         """Closes this side for writing once all unsent bytes are sent; the peer may still write."""
         raise NotImplementedError
 
@@ -283,7 +288,7 @@
         raise NotImplementedError
 
     def abort(self) -> None:
-        """Resets the connection: the peer's `read` raises `Lost`."""
+        """Resets the connection: the peer's `read` raises `ConnectionLost`."""
         raise NotImplementedError
 
 
@@ -294,14 +299,14 @@
     shed: int = 0  # connections closed at once because the process had no file descriptors left
 
     def accept(self) -> Coroutine[Stream]:
-        """Waits for the next connection. Raises `Lost` once the port is closed."""
+        """Waits for the next connection. Raises `ConnectionLost` once the port is closed."""
         raise NotImplementedError
 
     def close(self) -> None:
         """Closes the port and the connections that wait to be accepted."""
         raise NotImplementedError
 
-    def close_and_take(self) -> list[Stream]:
+    def close_and_accept_pending(self) -> list[Stream]:
         """Closes the port and returns the connections that waited to be accepted."""
         raise NotImplementedError
 
@@ -330,11 +335,11 @@
         """Nanoseconds of a monotonic clock."""
         raise NotImplementedError
 
-    def wall(self) -> int:
+    def wall_time(self) -> int:
         """Wall-clock time in nanoseconds since 1970, if known. It may jump, so nothing is timed by it."""
         return self.now()
 
-    def chance(self, name: str) -> random.Random:
+    def random_for(self, name: str) -> random.Random:
         """Returns a random generator for the purpose `name`.
 
         Each purpose has its own sequence, so an additional draw for one changes none of the others.
@@ -343,12 +348,12 @@
 
     # Tasks and timers.
 
-    def spawn(self, body: Coroutine[T], name: str, watch: bool = True) -> Task[T]:
+    def spawn(self, body: Coroutine[T], name: str, report_errors: bool = True) -> Task[T]:
         """Starts a coroutine in the next turn.
 
-        If it raises, nobody has joined it and `watch` is true, the error is passed to `on_crash`.
+        If it raises, nobody has joined it and `report_errors` is true, the error is passed to `on_crash`.
         """
-        task = Task(self, body, name, watch)
+        task = Task(self, body, name, report_errors)
         self.tasks[task] = None
         self.ready.append(task)
         return task
@@ -360,8 +365,8 @@
         if self.on_crash is not None:
             self.on_crash(task.name, error)
 
-    def at(self, at: int, action: Callable[[], None]) -> Timer:
-        """Calls `action` in the first turn at or after `at`; equal times in the order of scheduling."""
+    def call_at(self, at: int, action: Callable[[], None]) -> Timer:
+        """Calls `action` in the first turn at or after `call_at`; equal times in the order of scheduling."""
         timer = Timer(self, at, action)
         self._timer_sequence += 1
         heapq.heappush(self._heap, (at, self._timer_sequence, timer))
@@ -382,19 +387,19 @@
     def sleep(self, length: int) -> Coroutine[None]:
         """Waits for `length` nanoseconds."""
         waiter = Waiter(self)
-        timer = self.at(self.now() + length, waiter.set)
+        timer = self.call_at(self.now() + length, waiter.set)
         try:
             yield waiter
         finally:
             timer.cancel()
 
-    def within(self, length: int, body: Coroutine[T], name: str = "within") -> Coroutine[T]:
+    def with_timeout(self, length: int, body: Coroutine[T], name: str = "within") -> Coroutine[T]:
         """Runs a coroutine for at most `length` nanoseconds and returns its result.
 
         Raises `TimedOut` once the time has passed and the cancelled coroutine has ended.
         """
-        task = self.spawn(body, name, watch=False)
-        timer = self.at(self.now() + length, task.cancel)
+        task = self.spawn(body, name, report_errors=False)
+        timer = self.call_at(self.now() + length, task.cancel)
         try:
             result = yield from task.join()
         except Cancelled:
@@ -459,6 +464,6 @@
         """Opens a port. Raises OSError if it is in use."""
         raise NotImplementedError
 
-    def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
-        """Connects from `source` to `address`. Raises `Refused`, also after `within` nanoseconds."""
+    def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
+        """Connects from `source` to `address`. Raises `ConnectFailed`, also after `timeout` nanoseconds."""
         raise NotImplementedError
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -12,22 +12,32 @@
 from dataclasses import dataclass
 from functools import partial
 
-from peattrestle.runtime.kernel import MS, Coroutine, Kernel, Listener, Lost, Refused, Stream, Timer, Waiter
+from peattrestle.runtime.kernel import (
+    MS,
+    ConnectFailed,
+    ConnectionLost,
+    Coroutine,
+    Kernel,
+    Listener,
+    Stream,
+    Timer,
+    Waiter,
+)
 
 
 @dataclass(slots=True)
 class Network:
     """The properties of simulated connections, and which of them are cut now.
 
-    `min_delay`, `max_delay`: one-way delay in nanoseconds. `cut_up`: probability that a segment is split in
-    two. `window`: bytes that a peer may have unread before further ones stay with the writer.
+    `min_delay`, `max_delay`: one-way delay in nanoseconds. `split_probability`: probability that a segment is
+    split in two. `window`: bytes that a peer may have unread before further ones stay with the writer.
     `cut(source, address)`: whether the two are cut off from each other now; bytes wait until they are not.
     `cut_check_interval`: nanoseconds between checks whether a cut has ended.
     """
 
     min_delay: int = MS // 5
     max_delay: int = 2 * MS
-    cut_up: float = 0.1
+    split_probability: float = 0.1
     window: int = 262144
     cut: Callable[[str, str], bool] = lambda source, address: False
     cut_check_interval: int = 20 * MS
@@ -73,7 +83,7 @@
                 data = data[:free]
             self.unsent -= len(data)
             segments = [bytes(data)]
-            if len(data) > 1 and self.kernel.rng.random() < network.cut_up:
+            if len(data) > 1 and self.kernel.rng.random() < network.split_probability:
                 split_at = self.kernel.rng.randint(1, len(data) - 1)
                 segments = [bytes(data[:split_at]), bytes(data[split_at:])]
             for segment in segments:
@@ -93,18 +103,18 @@
                 return
             if self.kernel.network.cut(self.source, self.peer):
                 self._last_arrival = self.kernel.now() + self.kernel.network.cut_check_interval
-                self.kernel.at(self._last_arrival, arrive)
+                self.kernel.call_at(self._last_arrival, arrive)
             else:
                 action()
 
-        self.kernel.at(arrival, arrive)
+        self.kernel.call_at(arrival, arrive)
 
     def _deliver(self, segment: bytes) -> None:
         other = self.other
         self._in_flight -= len(segment)
         if other._closed:
             # As with TCP, bytes sent to a closed socket are answered with a reset.
-            self.kernel.at(self.kernel.now() + self.delay, lambda: self._reset("peer closed"))
+            self.kernel.call_at(self.kernel.now() + self.delay, lambda: self._reset("peer closed"))
             return
         other._received.append(segment)
         other._unread += len(segment)
@@ -116,9 +126,9 @@
             self._drainers.append((below, waiter))
             yield waiter
         if self._lost_reason:
-            raise Lost(self._lost_reason)
+            raise ConnectionLost(self._lost_reason)
 
-    def finish(self) -> None:
+    def close_write(self) -> None:
         if not self._finished and not self._closed:
             self._finished = True
             self._schedule(self._end_of_stream)
@@ -140,7 +150,7 @@
     def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         while True:
             if self._closed:
-                raise Lost(self._lost_reason or "closed locally")
+                raise ConnectionLost(self._lost_reason or "closed locally")
             if self._received:
                 data = self._received.popleft()
                 if len(data) > max_bytes:
@@ -168,7 +178,7 @@
         self._closed, self._lost_reason = True, reason
         self._out.clear()
         self.unsent = 0
-        error = Lost(reason)
+        error = ConnectionLost(reason)
         if self._reader is not None:
             self._reader.fail(error)
             self._reader = None
@@ -185,14 +195,14 @@
                 segment = bytes(self._out.popleft())
                 self._in_flight += len(segment)
                 self._schedule(partial(self._deliver, segment))
-            self.finish()
+            self.close_write()
             self._shut("")
             self._lost_reason = ""
 
     def abort(self) -> None:
         if not self._closed:
             other = self.other
-            self.kernel.at(self.kernel.now() + self.delay, lambda: other._reset("reset by peer"))
+            self.kernel.call_at(self.kernel.now() + self.delay, lambda: other._reset("reset by peer"))
             self._shut("aborted locally")
 
 
@@ -217,7 +227,7 @@
     def accept(self) -> Coroutine[Stream]:
         while not self.pending:
             if self._closed:
-                raise Lost("closed locally")
+                raise ConnectionLost("closed locally")
             waiter = self._waiter = Waiter(self.kernel)
             try:
                 yield waiter
@@ -232,12 +242,12 @@
         if self.kernel.listeners.get(self.address) is self:
             del self.kernel.listeners[self.address]
         if self._waiter is not None:
-            self._waiter.fail(Lost("closed locally"))
+            self._waiter.fail(ConnectionLost("closed locally"))
             self._waiter = None
         for stream in self.pending:
             stream.abort()
 
-    def close_and_take(self) -> list[Stream]:
+    def close_and_accept_pending(self) -> list[Stream]:
         accepted: list[Stream] = list(self.pending)
         for stream in self.pending:
             self.adopt(stream)
@@ -252,7 +262,7 @@
     def __init__(self, seed: int, network: Network | None = None) -> None:
         super().__init__(seed)
         self.network = network or Network()
-        self.rng = self.chance("network")
+        self.rng = self.random_for("network")
         self.listeners: dict[str, VirtualListener] = {}
         self._now = 1_000_000 * MS  # not 0, so that an unset time of 0 is not mistaken for the start
         self._port = 40000
@@ -271,16 +281,16 @@
         listener = self.listeners[address] = VirtualListener(self, address, backlog)
         return listener
 
-    def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
+    def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
         self._port += 1
         here = VirtualStream(self, source, address)
-        yield from self.sleep(min(2 * here.delay, within))
+        yield from self.sleep(min(2 * here.delay, timeout))
         if self.network.cut(source, address):
-            yield from self.sleep(max(0, within - 2 * here.delay))
-            raise Refused(f"{address}: no answer")
+            yield from self.sleep(max(0, timeout - 2 * here.delay))
+            raise ConnectFailed(f"{address}: no answer")
         listener = self.listeners.get(address)
         if listener is None or len(listener.pending) >= listener.backlog:
-            raise Refused(f"{address}: ECONNREFUSED")
+            raise ConnectFailed(f"{address}: ECONNREFUSED")
         there = VirtualStream(self, address, source or f"127.0.0.1:{self._port}")
         there.delay = here.delay
         here.other, there.other = there, here
@@ -318,12 +328,12 @@
     def now(self) -> int:
         return self.parent.now()
 
-    def at(self, at: int, action: Callable[[], None]) -> Timer:
+    def call_at(self, at: int, action: Callable[[], None]) -> Timer:
         def fire_if_alive() -> None:
             if self.alive:
                 action()
 
-        return self.parent.at(at, fire_if_alive)
+        return self.parent.call_at(at, fire_if_alive)
 
     def at_turn_end(self, action: Callable[[], None]) -> None:
         def act_if_alive() -> None:
@@ -338,8 +348,8 @@
         self._listeners.append(listener)
         return listener
 
-    def connect(self, address: str, within: int, source: str = "") -> Coroutine[Stream]:
-        stream = yield from self.parent.connect(address, within, source)
+    def connect(self, address: str, timeout: int, source: str = "") -> Coroutine[Stream]:
+        stream = yield from self.parent.connect(address, timeout, source)
         assert isinstance(stream, VirtualStream)
         self._streams = [open_stream for open_stream in self._streams if not open_stream._closed]
         self._streams.append(stream)
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -7,9 +7,18 @@
 
 from peattrestle.h248 import package
 from peattrestle.h248.package import SetUpRequest
-from peattrestle.h248.session import BadPeer, Session
-from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
-from peattrestle.runtime import Coroutine, Event, Kernel, Lost, Refused, Stream, TimedOut, Timer
+from peattrestle.h248.session import ProtocolViolation, Session
+from peattrestle.h248.transactions import NewRequest, ReplyReceived, Transactions, UnknownTransaction
+from peattrestle.runtime import (
+    ConnectFailed,
+    ConnectionLost,
+    Coroutine,
+    Event,
+    Kernel,
+    Stream,
+    TimedOut,
+    Timer,
+)
 from peattrestle.standin.record import Record
 
 MS = 1_000_000
@@ -51,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class Habits:
+class CallerBehaviour:
     """Behaviour of callers and gateways; shares from 0 to 1, times in nanoseconds."""
 
     patience_least: float = 0.30  # of the bearer type's abandon time
@@ -100,7 +109,7 @@
     rate: float
     destinations: dict[int, float]
     bearers: list[BearerProfile]
-    habits: Habits
+    behaviour: CallerBehaviour
     hot_number: tuple[str, int, float] | None = None
 
 
@@ -156,7 +165,7 @@
         self.label = f"{number}" + (f".{place}" if place else "")
         self.name = f"gateway {self.label}"
         self.mid = f"<g{self.label}>"  # H.248 message identifier
-        self.draw = kernel.chance(self.name)
+        self.draw = kernel.random_for(self.name)
         self.transactions = Transactions(1, 100_000, 10_000)
         self.session: Session | None = None
         self.stream: Stream | None = None
@@ -169,14 +178,14 @@
         self.counts: dict[str, int] = {}
         self.attempt_count = 0
         self.replies_after_abandon = 0
-        self.closing = False
+        self.is_closing = False
         self.failed_connections = 0
         self.bucket = LeakyBucket()
         self.waiting_delay = 0  # maximum restart delay announced by the agent (H.248.1), nanoseconds
         self.dial_requested = Event(kernel)  # set when a caller dials without a connection
         self.rate_multiple = 1.0  # of its usual share of the exchange's calls
-        self.greetings: list[int] = []  # when the agent accepted its registrations
-        self.flooded = False  # has ignored all advice at some time
+        self.registration_times: list[int] = []  # when the agent accepted its registrations
+        self.has_flooded = False  # has ignored all advice at some time
         self.is_flooding = False  # ignores all advice from the agent now
         kernel.spawn(self.connect(), self.name)
 
@@ -188,21 +197,21 @@
 
     def connect(self) -> Coroutine[None]:
         """Keeps the gateway connected until it is closed."""
-        while not self.closing:
+        while not self.is_closing:
             try:
                 stream = yield from self.kernel.connect(self.address(), SECOND, self.name)
                 yield from self.run_session(stream)
-            except (Refused, Lost, BadPeer):
+            except (ConnectFailed, ConnectionLost, ProtocolViolation):
                 self.failed_connections += 1
             self.on_connection_lost()
-            habits = self.traffic.habits
-            yield from self.kernel.sleep(self.draw.randint(habits.restart_least, habits.restart_most))
-            if habits.avalanche and not self.is_flooding and self.waiting_delay:
+            behaviour = self.traffic.behaviour
+            yield from self.kernel.sleep(self.draw.randint(behaviour.restart_least, behaviour.restart_most))
+            if behaviour.avalanche and not self.is_flooding and self.waiting_delay:
                 # H.248.1 restart avalanche procedure: a random delay that ends early when a caller dials.
                 self.dial_requested = Event(self.kernel)
                 try:
                     delay = self.draw.randint(0, self.waiting_delay)
-                    yield from self.kernel.within(delay, self.dial_requested.wait())
+                    yield from self.kernel.with_timeout(delay, self.dial_requested.wait())
                 except TimedOut:
                     pass
 
@@ -214,7 +223,7 @@
         try:
             while data := (yield from stream.read()):
                 for event in session.feed(self.kernel.now(), data):
-                    if isinstance(event, Answered):
+                    if isinstance(event, ReplyReceived):
                         self.handle_reply(event)
                     elif isinstance(event, NewRequest):
                         self.handle_request(event)
@@ -243,7 +252,7 @@
     def register_later(self, session: Session, wait: int) -> None:
         """Registers again after `wait`, as the agent demanded, if the connection is still the same."""
         self.count("restarts_held_back")
-        self.kernel.at(
+        self.kernel.call_at(
             self.kernel.now() + wait,
             lambda: self.send_registration(session) if self.session is session else None,
         )
@@ -274,7 +283,7 @@
                 self.on_call_cut(attempt)
         self.agent_run = agent_run
         self.ready = True
-        self.greetings.append(self.kernel.now())
+        self.registration_times.append(self.kernel.now())
         releases, self.pending_releases = self.pending_releases[-10_000:], []
         for termination in releases:
             self.send_pending_release(termination)
@@ -290,11 +299,11 @@
 
     def generate_calls(self) -> Coroutine[None]:
         """Generates new calls as a Poisson process at the present rate of the traffic."""
-        while not self.closing:
+        while not self.is_closing:
             rate = self.traffic.rate
             wait = self.draw.expovariate(rate) if rate > 0 else 0.1
             yield from self.kernel.sleep(min(round(wait * SECOND), SECOND))
-            if rate > 0 and wait <= 1.0 and not self.closing:
+            if rate > 0 and wait <= 1.0 and not self.is_closing:
                 self.start_call()
 
     def start_call(self) -> CallerCall:
@@ -335,14 +344,14 @@
 
         `again_after_cut`: the call was established before and was cut.
         """
-        now, bearer, habits = self.kernel.now(), self.bearer(call), self.traffic.habits
+        now, bearer, behaviour = self.kernel.now(), self.bearer(call), self.traffic.behaviour
         if self.session is None or not self.ready:
             self.count("no_connection")
             self.dial_requested.set()
             self.redial(call, 0)
             return
         if (
-            habits.follows
+            behaviour.follows
             and not self.is_flooding
             and not self.bucket.admits(now, self.max_bucket_level(call))
         ):
@@ -351,10 +360,10 @@
             self.redial(call, 0)
             return
         abandon_after = round(
-            bearer.abandon_time * self.draw.uniform(habits.patience_least, habits.patience_most)
+            bearer.abandon_time * self.draw.uniform(behaviour.patience_least, behaviour.patience_most)
         )
         give_up_after = abandon_after
-        if habits.leaves_early and self.draw.random() < habits.leaves_early:
+        if behaviour.leaves_early and self.draw.random() < behaviour.leaves_early:
             give_up_after = round(abandon_after * self.draw.uniform(0.1, 0.5))
         self.attempt_count += 1
         call.tries += 1
@@ -366,7 +375,7 @@
             abandon_after,
             call.number,
             bearer.width,
-            repeat=habits.marks and call.tries > 1,
+            repeat=behaviour.marks and call.tries > 1,
             cut_before=again_after_cut,
             reference=f"g{self.label}/{self.attempt_count}",
         )
@@ -375,8 +384,8 @@
             attempt, lambda transaction_id: package.add_text(transaction_id, request)
         )
         self.attempts[termination] = attempt
-        if habits.repeats and self.draw.random() < habits.repeats:
-            self.kernel.at(now + 50 * MS, lambda: self.resend(attempt, request))
+        if behaviour.repeats and self.draw.random() < behaviour.repeats:
+            self.kernel.call_at(now + 50 * MS, lambda: self.resend(attempt, request))
         self.terminations[attempt.transaction_id] = termination
         if len(self.terminations) > 20_000:
             del self.terminations[next(iter(self.terminations))]
@@ -384,7 +393,7 @@
         self.record.add(
             now, "asked", self.name, self.agent, termination, request.reference, value=now + abandon_after
         )
-        attempt.timer = self.kernel.at(now + give_up_after, lambda: self.abandon(attempt))
+        attempt.timer = self.kernel.call_at(now + give_up_after, lambda: self.abandon(attempt))
 
     def max_bucket_level(self, call: CallerCall) -> float:
         """How full the bucket may be for this call: late calls may not use the burst allowance."""
@@ -397,9 +406,9 @@
             self.record.add(self.kernel.now(), "repeated", self.name, self.agent, attempt.termination)
             self.session.send(package.add_text(attempt.transaction_id, request))
 
-    def handle_reply(self, event: Answered) -> None:
+    def handle_reply(self, event: ReplyReceived) -> None:
         """Handles a reply from the agent."""
-        now, pending = self.kernel.now(), event.kept
+        now, pending = self.kernel.now(), event.attachment
         if pending == "hello":
             first_command = package.first_command(event.reply.actions)
             services = first_command[1].find("Services") if first_command else None
@@ -443,7 +452,7 @@
             call.established_at = now
         call.reestablished = call.cut
         duration = round(self.draw.expovariate(1 / self.bearer(call).holding))
-        attempt.timer = self.kernel.at(now + duration, lambda: self.hang_up(attempt))
+        attempt.timer = self.kernel.call_at(now + duration, lambda: self.hang_up(attempt))
 
     def abandon(self, attempt: Attempt) -> None:
         """Gives up an attempt that has not been answered."""
@@ -497,29 +506,31 @@
 
     def on_call_cut(self, attempt: Attempt) -> None:
         """Handles a cut call: its caller dials again after a random wait."""
-        call, habits = attempt.call, self.traffic.habits
+        call, behaviour = attempt.call, self.traffic.behaviour
         self.count("cut")
         self.finish(attempt)
         call.cut, call.reestablished, call.tries = True, False, 0
-        wait = self.draw.randint(habits.return_least, habits.return_most)
-        self.kernel.at(self.kernel.now() + wait, lambda: None if self.closing else self.dial(call, True))
+        wait = self.draw.randint(behaviour.return_least, behaviour.return_most)
+        self.kernel.call_at(
+            self.kernel.now() + wait, lambda: None if self.is_closing else self.dial(call, True)
+        )
 
-    def redial(self, sale: CallerCall, come_back: int) -> None:
+    def redial(self, call: CallerCall, retry_after: int) -> None:
         """Schedules the caller's next attempt, unless the caller gives up first.
 
-        `come_back`: nanoseconds after which the agent advises to try again; 0 for no advice.
+        `retry_after`: nanoseconds after which the agent advises to try again; 0 for no advice.
         """
-        habits = self.traffic.habits
-        if sale.tries > habits.redials or self.closing:
+        behaviour = self.traffic.behaviour
+        if call.tries > behaviour.redials or self.is_closing:
             return
-        wait = self.draw.randint(habits.redial_least, habits.redial_most)
-        if come_back and not self.is_flooding and self.draw.random() < habits.honours:
-            wait = come_back
-        if self.kernel.now() + wait < sale.first_at + self.bearer(sale).abandon_time:
+        wait = self.draw.randint(behaviour.redial_least, behaviour.redial_most)
+        if retry_after and not self.is_flooding and self.draw.random() < behaviour.honours:
+            wait = retry_after
+        if self.kernel.now() + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
-                sale.tries += 1  # an attempt without a connection counts too, so that they come to an end
-            self.kernel.at(
-                self.kernel.now() + wait, lambda: None if self.closing else self.dial(sale, sale.cut)
+                call.tries += 1  # an attempt without a connection counts too, so that they come to an end
+            self.kernel.call_at(
+                self.kernel.now() + wait, lambda: None if self.is_closing else self.dial(call, call.cut)
             )
 
     # Faults and shutdown.
@@ -531,7 +542,7 @@
 
     def close(self) -> None:
         """Stops new connections and attempts."""
-        self.closing = True
+        self.is_closing = True
 
     def open_attempts(self) -> int:
         """Attempts that have no answer yet."""
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -13,11 +13,11 @@
 
 from peattrestle.h248 import package
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
-from peattrestle.h248.session import BadPeer, Session
+from peattrestle.h248.session import ProtocolViolation, Session
 from peattrestle.h248.text import Action, Command, Malformed, Request
-from peattrestle.h248.transactions import Answered, NewRequest, Transactions, UnknownTransaction
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
-from peattrestle.standin.fabric import Fabric, Group, SocketFaults
+from peattrestle.h248.transactions import NewRequest, ReplyReceived, Transactions, UnknownTransaction
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
+from peattrestle.standin.exchange_network import ExchangeNetwork, Group, SocketFaults
 from peattrestle.standin.processor import Processor
 
 
@@ -48,13 +48,13 @@
         self.run_id = ""  # changes when the agent restarts
         self.transactions = Transactions(1, 100_000, 100_000)
         self.connection: Connection | None = None
-        self.held: dict[str, ExchangeCall] = {}
+        self.calls: dict[str, ExchangeCall] = {}
 
 
 class Connection:
     """One connection from an agent, with the simulated socket faults applied to what it reads and writes."""
 
-    def __init__(self, exchange: StandinExchange, stream: Stream) -> None:
+    def __init__(self, exchange: SimulatedExchange, stream: Stream) -> None:
         self.exchange, self.stream = exchange, stream
         self.peer: AgentPeer | None = None
         self.blocked_output: list[bytes] = []  # held back while a region is cut off
@@ -80,7 +80,7 @@
         try:
             for received_at, data in delayed:
                 self.handle_data(received_at, data)
-        except BadPeer:
+        except ProtocolViolation:
             self.stream.abort()
 
     def record_unhandled_input(self) -> None:
@@ -92,23 +92,32 @@
         for received_at, data in delayed:
             try:
                 parts = [part for message in self.session.peek(data) for part in message.parts]
-            except (BadPeer, Malformed):
+            except (ProtocolViolation, Malformed):
                 return
             for part in parts:
                 if isinstance(part, Request) and self.peer is not None:
                     self.exchange.record_unhandled(self.peer, received_at, part.actions[0].commands[0])
 
     def handle_data(self, received_at: int, data: bytes) -> None:
-        """Handles data that arrived at `received_at`; raises BadPeer where the session cannot continue."""
+        """Handles data that arrived at `received_at`.
+
+        Raises ProtocolViolation where the session cannot continue.
+        """
         exchange = self.exchange
         exchange.received_at, exchange.time_uncertain = received_at, received_at < self.uncertain_until
         for event in self.session.feed(exchange.kernel.now(), data):
             if isinstance(event, NewRequest) and self.peer is not None:
                 exchange.handle_request(self, self.peer, event.request)
-            elif isinstance(event, Answered) and isinstance(event.kept, ExchangeCall):
-                exchange.handle_onward_reply(event.kept, package.read_outcome(event.reply))
-            elif isinstance(event, Answered) and isinstance(event.kept, str) and self.peer is not None:
-                exchange.handle_release_reply(self.peer, event.kept, package.reply_error_code(event.reply))
+            elif isinstance(event, ReplyReceived) and isinstance(event.attachment, ExchangeCall):
+                exchange.handle_onward_reply(event.attachment, package.read_outcome(event.reply))
+            elif (
+                isinstance(event, ReplyReceived)
+                and isinstance(event.attachment, str)
+                and self.peer is not None
+            ):
+                exchange.handle_release_reply(
+                    self.peer, event.attachment, package.reply_error_code(event.reply)
+                )
             elif isinstance(event, UnknownTransaction) and self.peer is not None:
                 exchange.handle_stray_reply(self.peer, event.id)
 
@@ -118,40 +127,46 @@
         return (
             peer is None
             or peer.number < 0
-            or self.exchange.fabric.reachable(peer.number, self.exchange.number)
+            or self.exchange.network.reachable(peer.number, self.exchange.number)
         )
 
     def write(self, data: bytes) -> None:
         """Sends data, subject to region cuts and the exchange's socket faults."""
-        exchange, flags = self.exchange, self.exchange.flags
-        if flags.mute:
+        exchange, socket_faults = self.exchange, self.exchange.socket_faults
+        if socket_faults.mute:
             return
         if not self.is_reachable() or self.blocked_output:
             if not self.blocked_output:
-                exchange.fabric.on_heal.append(self.flush)
+                exchange.network.on_heal.append(self.flush)
             self.blocked_output.append(data)
             return
-        if flags.garble and exchange.draw.random() < flags.garble:
+        if socket_faults.garble and exchange.draw.random() < socket_faults.garble:
             match = re.search(rb"Add=(n/[^{]*)", data)
             if match is not None and self.peer is not None:
                 # An agent that cannot read the transaction id of a request cannot reply to it, so this
                 # request is recorded as dropped: the sender only finds out by its own timeout.
                 now, termination = exchange.kernel.now(), match.group(1).decode()
-                exchange.fabric.record.add(now, "dropped", exchange.name, self.peer.name, termination)
+                exchange.network.record.add(now, "dropped", exchange.name, self.peer.name, termination)
             index = exchange.draw.randrange(4, len(data))
             data = data[:index] + bytes([exchange.draw.choice(b'{}"=,\x00\xff')]) + data[index + 1 :]
-        if flags.late_replies and b"Reply=" in data:
-            exchange.kernel.at(exchange.kernel.now() + flags.late_replies, lambda: self.stream.write(data))
-        elif flags.single_bytes or self.write_until > exchange.kernel.now():
+        if socket_faults.late_replies and b"Reply=" in data:
+            exchange.kernel.call_at(
+                exchange.kernel.now() + socket_faults.late_replies, lambda: self.stream.write(data)
+            )
+        elif socket_faults.single_bytes or self.write_until > exchange.kernel.now():
             send_at = max(self.write_until, exchange.kernel.now())
             for offset in range(len(data)):
                 send_at += 20_000
-                exchange.kernel.at(send_at, partial(self.stream.write, data[offset : offset + 1]))
+                exchange.kernel.call_at(send_at, partial(self.stream.write, data[offset : offset + 1]))
             self.write_until = send_at  # later messages must not overtake these bytes
         else:
             self.stream.write(data)
-        if flags.double_replies and b"Reply=" in data and exchange.draw.random() < flags.double_replies:
-            exchange.kernel.at(exchange.kernel.now() + 30_000_000, lambda: self.stream.write(data))
+        if (
+            socket_faults.double_replies
+            and b"Reply=" in data
+            and exchange.draw.random() < socket_faults.double_replies
+        ):
+            exchange.kernel.call_at(exchange.kernel.now() + 30_000_000, lambda: self.stream.write(data))
 
     def flush(self) -> None:
         """Sends what was held back while a region was cut off."""
@@ -164,7 +179,7 @@
         exchange, reason = self.exchange, "closed"
         try:
             while True:
-                while exchange.flags.stall:
+                while exchange.socket_faults.stall:
                     self.uncertain_until = exchange.kernel.now() + 200_000_000
                     yield from exchange.kernel.sleep(20_000_000)
                 data = yield from self.stream.read()
@@ -173,13 +188,13 @@
                 if self.delayed_input or not self.is_reachable():
                     # The region is cut off: received at the socket now, handled when the region heals.
                     if not self.delayed_input:
-                        exchange.fabric.on_heal.append(self.handle_delayed_input)
+                        exchange.network.on_heal.append(self.handle_delayed_input)
                     self.delayed_input.append((exchange.kernel.now(), data))
                 else:
                     self.handle_data(exchange.kernel.now(), data)
                 if self.stream.unsent > 1 << 24:
-                    raise Lost("an agent that does not read")
-        except (Lost, BadPeer) as error:
+                    raise ConnectionLost("an agent that does not read")
+        except (ConnectionLost, ProtocolViolation) as error:
             reason = str(error)
         finally:
             self.stream.close()
@@ -193,7 +208,7 @@
         if peer is None or peer.connection is not self:
             return
         peer.connection = None
-        exchange.fabric.record.add(exchange.kernel.now(), "lost", exchange.name, peer.name, text=reason)
+        exchange.network.record.add(exchange.kernel.now(), "lost", exchange.name, peer.name, text=reason)
         for pending in peer.transactions.close_all():
             if isinstance(pending, ExchangeCall):
                 exchange.handle_onward_lost(peer, pending)
@@ -201,7 +216,7 @@
                 exchange.pending_releases.append(pending)
 
 
-class StandinExchange:
+class SimulatedExchange:
     """A simulated exchange and its listening socket.
 
     `own_agent` names the agent attached to this exchange; `address` is the one actually bound. Times are in
@@ -211,19 +226,19 @@
     def __init__(
         self,
         kernel: Kernel,
-        fabric: Fabric,
+        network: ExchangeNetwork,
         name: str,
         number: int,
         address: str,
         own_agent: str,
         cold: bool = False,
     ) -> None:
-        self.kernel, self.fabric, self.name, self.number = kernel, fabric, name, number
+        self.kernel, self.network, self.name, self.number = kernel, network, name, number
         self.mid = f"<{name}>"  # H.248 message identifier
         self.own_agent = own_agent
-        self.flags = SocketFaults()
-        self.draw = kernel.chance(f"exchange/{name}")
-        settings = fabric.processor_settings
+        self.socket_faults = SocketFaults()
+        self.draw = kernel.random_for(f"exchange/{name}")
+        settings = network.processor_settings
         self.processor = Processor(
             kernel,
             settings.routing_work + settings.set_up_work,
@@ -257,7 +272,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             connection = Connection(self, stream)
             self.connections[connection] = None
@@ -268,7 +283,7 @@
     ) -> None:
         """Adds a row to the traffic record; what was received is stamped with its time of arrival."""
         incoming = kind in ("add", "freed")
-        self.fabric.record.add(
+        self.network.record.add(
             self.received_at if incoming else self.kernel.now(),
             kind,
             self.name,
@@ -283,7 +298,7 @@
         """Records that the cold processor failed under load; `senders` are the agents of that window's set-
         ups.
         """
-        self.fabric.record.add(
+        self.network.record.add(
             self.kernel.now(), "fell", self.name, "", value=self.started_at, text=" ".join(senders)
         )
 
@@ -312,17 +327,17 @@
             self.reply(
                 peer,
                 request.id,
-                package.command_reply(request.id, "-", "ServiceChange", "ROOT", inside=services),
+                package.command_reply(request.id, "-", "ServiceChange", "ROOT", descriptors=services),
             )
             if age:
                 now = self.kernel.now()
-                self.fabric.record.add(now, "told", self.name, peer.name, text=f"{self.name} started")
+                self.network.record.add(now, "told", self.name, peer.name, text=f"{self.name} started")
             if peer.name == self.own_agent and peer.connection is not None:
                 releases, self.pending_releases = self.pending_releases, []
                 for termination in releases[-10_000:]:
                     self.send_release(peer, termination)
                 self.report_groups(
-                    group for group in self.fabric.groups.values() if self.number in group.ends
+                    group for group in self.network.groups.values() if self.number in group.ends
                 )
         elif command.name == "Notify":
             if package.is_cut(command) and command.termination in self.onward_calls:
@@ -353,10 +368,10 @@
         peer.number = int(change.parameters.get("ptc/num", "-1"))
         run_id = change.parameters.get("ptc/run", "")
         if run_id != peer.run_id:
-            for call in list(peer.held.values()):
+            for call in list(peer.calls.values()):
                 self.end_call(peer, call)
             if peer.run_id:
-                peer.transactions.served.clear()
+                peer.transactions.received_requests.clear()
             peer.run_id = run_id
 
     def handle_add(
@@ -374,7 +389,7 @@
                 ),
             )
             return
-        if request.termination in peer.held:
+        if request.termination in peer.calls:
             self.reply(
                 peer,
                 transaction_id,
@@ -388,18 +403,18 @@
             )
             return
         self.record("add", peer, request.termination, request.reference)
-        if self.flags.reset_setups and self.draw.random() < self.flags.reset_setups:
+        if self.socket_faults.reset_setups and self.draw.random() < self.socket_faults.reset_setups:
             connection.stream.abort()
             return
         self.contexts += 1
-        call = peer.held[request.termination] = ExchangeCall(
+        call = peer.calls[request.termination] = ExchangeCall(
             peer.name, transaction_id, request, self.contexts
         )
-        if not self.fabric.take_circuits(peer.number, self.number, request.width):
+        if not self.network.take_circuits(peer.number, self.number, request.width):
             self.refuse(peer, call, "no_circuit")
             return
         call.has_circuits = True
-        settings, origin = self.fabric.processor_settings, self.fabric.exchanges.get(peer.number)
+        settings, origin = self.network.processor_settings, self.network.exchanges.get(peer.number)
 
         def start_processing() -> None:
             if call.state != "working":
@@ -425,7 +440,7 @@
         request = call.request
         if request.destination != self.number:
             self.send_onward(peer, call)
-        elif not self.fabric.take_line(request.number):
+        elif not self.network.take_line(request.number):
             self.refuse(peer, call, "lines_busy")
         else:
             call.has_line = True
@@ -434,9 +449,9 @@
     def establish(self, peer: AgentPeer, call: ExchangeCall) -> None:
         """Marks the call established and answers the set-up, unless the answer is to be lost."""
         call.state = "stands"
-        if self.fabric.answers_lost and self.draw.random() < self.fabric.answers_lost:
+        if self.network.answers_lost and self.draw.random() < self.network.answers_lost:
             return  # simulated loss: the call is established and its answer is never sent
-        origin = self.fabric.exchanges.get(peer.number)
+        origin = self.network.exchanges.get(peer.number)
 
         def send_answer() -> None:
             if call.state == "stands":
@@ -445,7 +460,7 @@
         if origin is None:
             send_answer()
         else:
-            origin.processor.submit_urgent(self.fabric.processor_settings.answer_work, send_answer)
+            origin.processor.submit_urgent(self.network.processor_settings.answer_work, send_answer)
 
     def refuse(self, peer: AgentPeer, call: ExchangeCall, cause: str) -> None:
         """Refuses a set-up for `cause` and frees what it held."""
@@ -465,7 +480,7 @@
 
     def load(self, agent: int) -> dict[str, float]:
         """The load sent with replies: processor queue and rate, free and working circuits to `agent`."""
-        group = self.fabric.group(agent, self.number)
+        group = self.network.group(agent, self.number)
         load = {"queue": float(self.processor.queue_length()), "rate": round(self.processor.set_up_rate(), 1)}
         if group is not None:
             load |= {"free": float(group.free()), "size": float(group.working())}
@@ -473,7 +488,7 @@
 
     def handle_subtract(self, peer: AgentPeer, transaction_id: int, action: Action, command: Command) -> None:
         """Handles a release by an agent."""
-        call = peer.held.get(command.termination)
+        call = peer.calls.get(command.termination)
         self.record("freed", peer, command.termination)
         if call is None:
             self.reply(
@@ -503,7 +518,7 @@
                 str(call.context),
                 "Subtract",
                 command.termination,
-                inside=f"Statistics{{{statistics}}}",
+                descriptors=f"Statistics{{{statistics}}}",
             ),
         )
 
@@ -517,20 +532,20 @@
         call.state = "over"
         self.release_onward(call)
         if call.has_line:
-            self.fabric.free_line(call.request.number)
+            self.network.free_line(call.request.number)
         if after_work and not self.processor.silent and not self.processor.failed and not self.stopped:
             self.processor.submit_urgent(
-                self.fabric.processor_settings.release_work, lambda: self.free_circuits(peer, call)
+                self.network.processor_settings.release_work, lambda: self.free_circuits(peer, call)
             )
         else:
             self.free_circuits(peer, call)
 
     def free_circuits(self, peer: AgentPeer, call: ExchangeCall) -> None:
         """Forgets a call and returns its circuits to the trunk group."""
-        peer.held.pop(call.request.termination, None)
+        peer.calls.pop(call.request.termination, None)
         if call.has_circuits:
             call.has_circuits = False
-            self.fabric.return_circuits(peer.number, self.number, call.request.width)
+            self.network.return_circuits(peer.number, self.number, call.request.width)
 
     # Transit calls, handed to the own agent.
 
@@ -572,8 +587,8 @@
             self.refuse(peer, call, "turned_back")
             return
         self.onward_calls[call.onward_termination] = (peer, call)
-        if not self.flags.mute:  # a muted exchange sent nothing
-            self.fabric.record.add(
+        if not self.socket_faults.mute:  # a muted exchange sent nothing
+            self.network.record.add(
                 self.kernel.now(),
                 "asked",
                 self.name,
@@ -587,7 +602,7 @@
         """Records a second answer to a transit call; a reply to an unknown transaction is ignored."""
         termination = self.onward_terminations.get(transaction_id, "")
         if termination and peer.name == self.own_agent:
-            self.fabric.record.add(
+            self.network.record.add(
                 self.kernel.now(), "answered", self.name, peer.name, termination, text="again"
             )
 
@@ -599,7 +614,9 @@
         if peer.connection is None:
             self.pending_releases.append(call.onward_termination)
             return
-        self.fabric.record.add(self.kernel.now(), "subtracted", self.name, peer.name, call.onward_termination)
+        self.network.record.add(
+            self.kernel.now(), "subtracted", self.name, peer.name, call.onward_termination
+        )
         self.send_release(peer, call.onward_termination)
 
     def repeat_release(self, peer: AgentPeer, transaction_id: int, termination: str) -> None:
@@ -607,7 +624,7 @@
         if peer.connection is not None and peer.transactions.open.get(transaction_id) == termination:
             peer.connection.session.send(package.subtract_text(transaction_id, "*", termination))
             repeat_at = self.kernel.now() + 1_000_000_000
-            self.kernel.at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
+            self.kernel.call_at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
 
     def send_release(self, peer: AgentPeer, termination: str) -> None:
         """Sends a release to the own agent and repeats it until it is answered."""
@@ -616,21 +633,21 @@
                 termination, lambda transaction_id: package.subtract_text(transaction_id, "*", termination)
             )
             repeat_at = self.kernel.now() + 1_000_000_000
-            self.kernel.at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
+            self.kernel.call_at(repeat_at, lambda: self.repeat_release(peer, transaction_id, termination))
 
     def handle_release_reply(self, peer: AgentPeer, termination: str, code: int) -> None:
         """Handles the reply to a release: once confirmed, no further answer to that call is valid."""
         if code not in (0, package.UNKNOWN_TERMINATION):
             self.send_release(peer, termination)  # the agent could not read the request
             return
-        self.fabric.record.add(self.kernel.now(), "confirmed", self.name, peer.name, termination)
+        self.network.record.add(self.kernel.now(), "confirmed", self.name, peer.name, termination)
         for transaction_id, request in list(peer.transactions.open.items()):
             if isinstance(request, ExchangeCall) and request.onward_termination == termination:
                 peer.transactions.close(transaction_id)
 
     def handle_onward_lost(self, peer: AgentPeer, call: ExchangeCall) -> None:
         """Handles a transit set-up whose connection was lost before its answer."""
-        self.fabric.record.add(self.kernel.now(), "dropped", self.name, peer.name, call.onward_termination)
+        self.network.record.add(self.kernel.now(), "dropped", self.name, peer.name, call.onward_termination)
         self.pending_releases.append(call.onward_termination)  # its answer may be what was lost
         entry = self.onward_calls.pop(call.onward_termination, None)
         if entry is not None and call.state == "onward":
@@ -641,7 +658,7 @@
         entry = self.onward_calls.get(call.onward_termination)
         own_peer = self.agents.get(self.own_agent)
         if own_peer is not None:
-            self.fabric.record.add(
+            self.network.record.add(
                 self.kernel.now(),
                 "answered",
                 self.name,
@@ -668,7 +685,7 @@
         if call.state == "over":
             return
         self.end_call(peer, call)
-        self.fabric.record.add(self.kernel.now(), "cut", self.name, peer.name, call.request.termination)
+        self.network.record.add(self.kernel.now(), "cut", self.name, peer.name, call.request.termination)
         if peer.connection is not None:
             peer.connection.session.request(
                 None,
@@ -682,7 +699,7 @@
         return [
             (peer, call)
             for peer in self.agents.values()
-            for call in list(peer.held.values())
+            for call in list(peer.calls.values())
             if call.state == "stands"
         ]
 
@@ -706,7 +723,7 @@
     def circuits_in_use(self) -> Iterable[tuple[tuple[int, int], int]]:
         """The circuits that calls hold here: the exchanges at both ends, lower number first, and how many."""
         for peer in self.agents.values():
-            for call in peer.held.values():
+            for call in peer.calls.values():
                 if call.has_circuits:
                     yield (
                         (
@@ -720,7 +737,7 @@
     def end_all_calls(self, notify: bool) -> None:
         """Ends all calls. `notify`: the agents that set up established calls are notified."""
         for peer in self.agents.values():
-            for call in list(peer.held.values()):
+            for call in list(peer.calls.values()):
                 if notify and call.state == "stands":
                     self.cut_call(peer, call)
                 self.end_call(peer, call)
--- a/peattrestle/standin/fabric.py
+++ b/peattrestle/standin/exchange_network.py
@@ -10,24 +10,24 @@
 from peattrestle.standin.record import Record
 
 if TYPE_CHECKING:
-    from peattrestle.standin.exchange import StandinExchange
+    from peattrestle.standin.exchange import SimulatedExchange
 
 
 @dataclass(slots=True)
 class Group:
     """A trunk group between two exchanges, used from both ends and by transit calls.
 
-    `taken`: circuits in use. `out_of_service`: circuits lost at present.
+    `in_use`: circuits in use. `out_of_service`: circuits lost at present.
     """
 
     ends: tuple[int, int]
     size: int
     out_of_service: int = 0
-    taken: int = 0
+    in_use: int = 0
 
     def free(self) -> int:
         """Circuits that a new call may use."""
-        return max(0, self.size - self.out_of_service - self.taken)
+        return max(0, self.size - self.out_of_service - self.in_use)
 
     def working(self) -> int:
         """Circuits in service, free or in use."""
@@ -54,16 +54,16 @@
     urgent_first: bool = True
 
 
-class Fabric:
+class ExchangeNetwork:
     """The network between the simulated exchanges."""
 
     def __init__(
         self, kernel: Kernel, record: Record, processor_settings: ProcessorSettings, seed_name: str = "fabric"
     ) -> None:
         self.kernel, self.record, self.processor_settings = kernel, record, processor_settings
-        self.draw = kernel.chance(seed_name)
+        self.draw = kernel.random_for(seed_name)
         self.groups: dict[tuple[int, int], Group] = {}
-        self.exchanges: dict[int, StandinExchange] = {}
+        self.exchanges: dict[int, SimulatedExchange] = {}
         self.regions: dict[int, str] = {}
         self.cut_regions: set[str] = set()
         self.line_limits: dict[str, int] = {}  # lines of each number called that has few
@@ -87,7 +87,7 @@
         group = self.group(first, second)
         if group is None or group.free() < width:
             return False
-        group.taken += width
+        group.in_use += width
         self.schedule_report(group)
         return True
 
@@ -95,8 +95,8 @@
         """Returns `width` circuits to the trunk group between two exchanges."""
         group = self.group(first, second)
         if group is not None:
-            group.taken -= width
-            assert group.taken >= 0, f"trunk group {group.ends}: more circuits returned than were taken"
+            group.in_use -= width
+            assert group.in_use >= 0, f"trunk group {group.ends}: more circuits returned than were taken"
             self.schedule_report(group)
 
     def schedule_report(self, group: Group) -> None:
@@ -104,7 +104,7 @@
         self.changed_groups.append(group.ends)
         if not self._report_scheduled:
             self._report_scheduled = True
-            self.kernel.at(self.kernel.now() + 20_000_000, self.report_changes)
+            self.kernel.call_at(self.kernel.now() + 20_000_000, self.report_changes)
 
     def report_changes(self) -> None:
         """Each exchange reports the groups changed since the last report to its own agent, in one go."""
@@ -152,7 +152,7 @@
         for exchange in self.exchanges.values():
             for ends, width in exchange.circuits_in_use():
                 held[ends] = held.get(ends, 0) + width
-        return sum(abs(group.taken - held.get(ends, 0)) for ends, group in self.groups.items())
+        return sum(abs(group.in_use - held.get(ends, 0)) for ends, group in self.groups.items())
 
 
 @dataclass(slots=True)
--- a/peattrestle/standin/list_source.py
+++ b/peattrestle/standin/list_source.py
@@ -4,8 +4,8 @@
 
 import json
 
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
-from peattrestle.standin.exchange import StandinExchange
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
+from peattrestle.standin.exchange import SimulatedExchange
 from peattrestle.standin.record import Record
 
 
@@ -19,8 +19,8 @@
     def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
         self.kernel, self.record = kernel, record
         self.min_delay, self.max_delay = min_delay, max_delay
-        self.draw = kernel.chance("list source")
-        self.exchanges: dict[str, tuple[StandinExchange, str]] = {}
+        self.draw = kernel.random_for("list source")
+        self.exchanges: dict[str, tuple[SimulatedExchange, str]] = {}
         self.regions: dict[int, str] = {}
         self.subscribers: dict[str, Stream] = {}
         self.available = True
@@ -33,7 +33,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.kernel.spawn(self.serve_subscriber(stream), f"list < {stream.peer}")
 
@@ -52,7 +52,7 @@
             self.send(name, stream, "full", list(self.exchanges))
             while (yield from stream.read()):
                 pass
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             stream.close()
@@ -78,7 +78,7 @@
             self.record.add(now, "told", "list", name, text=f"{exchange_name} {state}")
         stream.write(json.dumps({"form": form, "entries": rows}).encode() + b"\n")
 
-    def set_state(self, exchange: StandinExchange, state: str) -> None:
+    def set_state(self, exchange: SimulatedExchange, state: str) -> None:
         """Sets the state of an exchange; connected agents learn of it later, each after its own delay."""
         self.exchanges[exchange.name] = (exchange, state)
         for name in list(self.subscribers):
@@ -89,7 +89,7 @@
                 if stream is not None and self.available:
                     self.send(name, stream, "delta", [exchange.name])
 
-            self.kernel.at(self.kernel.now() + delay, send_change)
+            self.kernel.call_at(self.kernel.now() + delay, send_change)
 
     def go_down(self) -> None:
         """Makes the list unreachable: connections end, and new ones are closed at once."""
--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 
 MS = 1_000_000
 
@@ -20,19 +20,19 @@
 class Faults:
     """Faults that are active now.
 
-    `unreachable`: connections are reset. `mute`: requests are read and not answered. `cut_after`: the
-    connection is reset after so many bytes of the following answers; -1 for never. `doubled`: events are sent
-    twice. `late`: nanoseconds by which each answer is delayed. `error`: the HTTP status of every answer; 0
-    for none. `news_stuck`: events are held back, in order.
+    `unreachable`: connections are reset. `mute`: requests are read and not answered. `reset_after_bytes`: the
+    connection is reset after so many bytes of the following answers; -1 for never. `duplicate_events`: events
+    are sent twice. `reply_delay`: nanoseconds by which each answer is delayed. `error`: the HTTP status of
+    every answer; 0 for none. `hold_events`: events are held back, in order.
     """
 
     unreachable: bool = False
     mute: bool = False
-    cut_after: int = -1
-    doubled: bool = False
-    late: int = 0
+    reset_after_bytes: int = -1
+    duplicate_events: bool = False
+    reply_delay: int = 0
     error: int = 0
-    news_stuck: bool = False
+    hold_events: bool = False
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
     queue: list[dict[str, Any]] = field(default_factory=list)
 
 
-class StandinRegistry:
+class SimulatedRegistry:
     """An etcd-like key-value store and its listening socket; `cluster` is its cluster id."""
 
     def __init__(self, kernel: Kernel, address: str, cluster: int = 4711) -> None:
@@ -95,13 +95,13 @@
         self.compacted = self.revision
         self.history.clear()
 
-    def leave(self) -> None:
+    def go_down(self) -> None:
         """Makes the registry unreachable: connections are reset, new ones too."""
         self.faults.unreachable = True
         for stream in list(self.streams):
             stream.abort()
 
-    def come_back(self) -> None:
+    def recover(self) -> None:
         """Makes the registry reachable again."""
         self.faults.unreachable = False
 
@@ -136,7 +136,7 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.kernel.spawn(self.serve(stream), f"registry < {stream.peer}")
 
@@ -175,12 +175,12 @@
                     b"",
                 ).decode("ascii", "replace")
                 agent = agent.strip().removeprefix("peattrestle/")
-                if self.faults.late:
-                    yield from self.kernel.sleep(self.faults.late)
+                if self.faults.reply_delay:
+                    yield from self.kernel.sleep(self.faults.reply_delay)
                 if not self.faults.mute:
                     self.handle_request(stream, agent, target, json.loads(body[:length] or b"{}"))
             stream.abort()
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             self.streams.remove(stream)
@@ -188,14 +188,14 @@
             stream.close()
 
     def write(self, stream: Stream, data: bytes) -> None:
-        """Writes data, subject to the fault `cut_after`."""
-        limit = self.faults.cut_after
+        """Writes data, subject to the fault `reset_after_bytes`."""
+        limit = self.faults.reset_after_bytes
         if 0 <= limit < len(data):
-            self.faults.cut_after = -1
+            self.faults.reset_after_bytes = -1
             stream.write(data[:limit])
-            self.kernel.at(self.kernel.now() + 5 * MS, stream.abort)
+            self.kernel.call_at(self.kernel.now() + 5 * MS, stream.abort)
         else:
-            self.faults.cut_after = limit - len(data) if limit >= 0 else limit
+            self.faults.reset_after_bytes = limit - len(data) if limit >= 0 else limit
             stream.write(data)
 
     def send_response(self, stream: Stream, status: str, body: dict[str, Any]) -> None:
@@ -243,16 +243,16 @@
     def _send_events(self, watcher: Watcher, events: list[dict[str, Any]]) -> None:
         """Queues events for a watch, and sends all that are queued unless a fault holds them back."""
         watcher.queue += events
-        if self.faults.news_stuck or self.faults.unreachable:
+        if self.faults.hold_events or self.faults.unreachable:
             return  # kept in order, as a watch never skips an event
         events, watcher.queue = watcher.queue, []
         for event in events:
             value = base64.b64decode(event["kv"]["value"]) if "value" in event["kv"] else None
             self.on_sent(watcher.agent, base64.b64decode(event["kv"]["key"]), value)
-        for _ in range(2 if self.faults.doubled else 1):
+        for _ in range(2 if self.faults.duplicate_events else 1):
             self.send_chunk(watcher.stream, {"header": self.header(), "events": events})
 
-    def progress(self) -> None:
+    def send_progress(self) -> None:
         """Sends every watch a progress notification: the present revision, without events."""
         for watcher in self.watchers:
             self.send_chunk(watcher.stream, {"header": self.header()})
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -5,9 +5,9 @@
 import json
 
 from peattrestle.runtime import Kernel
-from peattrestle.standin.exchange import StandinExchange
+from peattrestle.standin.exchange import SimulatedExchange
 from peattrestle.standin.record import Record
-from peattrestle.standin.registry import StandinRegistry
+from peattrestle.standin.registry import SimulatedRegistry
 
 PREFIX = "/peattrestle/exchanges/"
 
@@ -18,15 +18,15 @@
     def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
         self.kernel, self.record = kernel, record
         self.min_delay, self.max_delay = min_delay, max_delay
-        self.draw = kernel.chance("hub registry")
-        self.exchanges: dict[str, tuple[StandinExchange, str]] = {}
+        self.draw = kernel.random_for("hub registry")
+        self.exchanges: dict[str, tuple[SimulatedExchange, str]] = {}
         self.regions: dict[int, str] = {}
-        self.registry = StandinRegistry(kernel, address)
+        self.registry = SimulatedRegistry(kernel, address)
         self.registry.on_sent = self.record_sent
         self.address = self.registry.address
         self._last_change: dict[str, int] = {}
 
-    def set_state(self, exchange: StandinExchange, state: str) -> None:
+    def set_state(self, exchange: SimulatedExchange, state: str) -> None:
         """Sets the state of an exchange in the registry, after a random delay if it is known already."""
         is_known = exchange.name in self.exchanges
         self.exchanges[exchange.name] = (exchange, state)
@@ -38,16 +38,16 @@
         write_at = self._last_change[exchange.name] = max(
             write_at, self._last_change.get(exchange.name, 0) + 1
         )
-        self.kernel.at(write_at, lambda: self.write(exchange, state))
+        self.kernel.call_at(write_at, lambda: self.write(exchange, state))
 
-    def write(self, exchange: StandinExchange, state: str) -> None:
+    def write(self, exchange: SimulatedExchange, state: str) -> None:
         """Writes the state of an exchange to the registry."""
         if state == "gone":
             self.registry.delete(PREFIX + exchange.name)
             return
         started = 0.0
         if exchange.started_at >= 0:
-            started = (self.kernel.wall() - (self.kernel.now() - exchange.started_at)) / 1e9
+            started = (self.kernel.wall_time() - (self.kernel.now() - exchange.started_at)) / 1e9
         value = {
             "number": exchange.number,
             "state": state,
@@ -65,8 +65,8 @@
 
     def go_down(self) -> None:
         """Makes the registry unreachable."""
-        self.registry.leave()
+        self.registry.go_down()
 
     def recover(self) -> None:
         """Makes the registry reachable again."""
-        self.registry.come_back()
+        self.registry.recover()
--- a/peattrestle/trials/caller.py
+++ b/peattrestle/trials/caller.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from peattrestle.runtime import Coroutine, Kernel, Lost, Refused, Stream
+from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel, Stream
 from peattrestle.sip import text as sip
 from peattrestle.trials.deployment import BEARER_TYPE, Deployment
 from peattrestle.trials.record import Answer, CallerConnection, ConnectionEnd, Record, Request
@@ -81,7 +81,7 @@
                 reader.feed(data)
                 while (message := reader.next()) is not None:
                     self.group.handle_message(self, message)
-        except Lost:
+        except ConnectionLost:
             end = ConnectionEnd.AGENT_RESET
         except sip.BadMessage as error:
             self.group.record.unsolicited.append(f"a caller got an unreadable message: {error}")
@@ -151,7 +151,7 @@
             stream = yield from self.kernel.connect(
                 self.deployment.agent_address(self.agent), CONNECT_TIMEOUT
             )
-        except Refused:
+        except ConnectFailed:
             return
         driver = CallerConnectionDriver(self, stream)
         self.connections.append(driver)
@@ -181,7 +181,7 @@
             request.sent_at = self.kernel.now()
         if self.rng.random() < self.behaviour.abandon_share:
             wait = self.rng.randint(0, max(1, answer_timeout // 4))
-            self.kernel.at(self.kernel.now() + wait, lambda: self.abandon(driver, request))
+            self.kernel.call_at(self.kernel.now() + wait, lambda: self.abandon(driver, request))
         return request
 
     def abandon(self, driver: CallerConnectionDriver, request: Request) -> None:
@@ -222,7 +222,7 @@
         driver.send(bodyless_request("ACK", request.call_id))
         if self.rng.random() < 0.5:
             wait = round(self.deployment.holding_time * self.rng.random())
-            self.kernel.at(self.kernel.now() + wait, lambda: self.release_call(request))
+            self.kernel.call_at(self.kernel.now() + wait, lambda: self.release_call(request))
 
     def release_call(self, request: Request) -> None:
         """Releases an established call on any connection of the group."""
@@ -268,11 +268,11 @@
     def run(self) -> Coroutine[None]:
         try:
             stream = yield from self.kernel.connect(self.address, CONNECT_TIMEOUT)
-        except Refused:
+        except ConnectFailed:
             return
         stream.write(self.data)
         answered = False
-        reader = self.kernel.spawn(stream.read(), "abusive caller reads", watch=False)
+        reader = self.kernel.spawn(stream.read(), "abusive caller reads", report_errors=False)
         deadline = self.kernel.now() + ABUSE_RESPONSE_TIMEOUT
         while self.kernel.now() < deadline and not answered:
             yield from self.kernel.sleep(20 * MS)
--- a/peattrestle/trials/feed.py
+++ b/peattrestle/trials/feed.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from peattrestle.runtime import Coroutine, Kernel, Listener, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.trials.deployment import Deployment
 
 MS = 1_000_000
@@ -53,7 +53,7 @@
     def __init__(self, kernel: Kernel, deployment: Deployment, address_count: int) -> None:
         self.kernel, self.deployment, self.address_count = kernel, deployment, address_count
         self.events: list[Event] = []
-        self.rng = kernel.chance("feed")
+        self.rng = kernel.random_for("feed")
         self.state = FeedState.UP
         self.address_index = 0
         self.outage_began = 0
@@ -79,7 +79,7 @@
         while True:
             try:
                 stream = yield from listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.agent_by_stream[stream] = agent
             self.kernel.spawn(self.serve(stream), "feed subscriber")
@@ -87,7 +87,7 @@
     def serve(self, stream: Stream) -> Coroutine[None]:
         try:
             yield from self.handle_request(stream)
-        except Lost:
+        except ConnectionLost:
             pass
         finally:
             self.subscribers.pop(stream, None)
@@ -176,6 +176,6 @@
         self.close_listeners()
         for stream in list(self.subscribers):
             self.subscribers.pop(stream)
-            self.kernel.at(self.kernel.now() + 1_500 * MS, stream.close)
+            self.kernel.call_at(self.kernel.now() + 1_500 * MS, stream.close)
         self.address_index = (self.address_index + 1) % self.address_count
         self.open()
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -12,10 +12,10 @@
 from peattrestle.h248 import package
 from peattrestle.h248.package import SetUpRequest
 from peattrestle.h248.session import Session, SessionEvent
-from peattrestle.h248.transactions import Answered, StillPending, Transactions
+from peattrestle.h248.transactions import PendingReceived, ReplyReceived, Transactions
 from peattrestle.rehearsal.script import Bearer, Fleet, Script
 from peattrestle.rehearsal.world import World
-from peattrestle.runtime import Coroutine, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Stream
 from peattrestle.runtime.virtual import Network, VirtualKernel
 from peattrestle.settings.agent import Limits
 
@@ -57,7 +57,7 @@
         session.request(number, lambda transaction_id: package.add_text(transaction_id, request))
 
     def run(self, body: Coroutine[Any]) -> Any:
-        task = self.kernel.spawn(body, "test", watch=False)
+        task = self.kernel.spawn(body, "test", report_errors=False)
         self.kernel.run(self.kernel.now() + 20 * SECOND)
         assert task.done
         if task.error is not None:
@@ -67,9 +67,9 @@
     def answers(self) -> dict[int, tuple[int, int]]:
         outcomes = {}
         for event in self.events:
-            if isinstance(event, Answered) and isinstance(event.kept, int):
+            if isinstance(event, ReplyReceived) and isinstance(event.attachment, int):
                 outcome = package.read_outcome(event.reply)
-                outcomes[event.kept] = (outcome.code, outcome.retry_after)
+                outcomes[event.attachment] = (outcome.code, outcome.retry_after)
         return outcomes
 
 
@@ -99,7 +99,7 @@
         session, stream = yield from harness.gateway()
         harness.kernel.spawn(harness.listen(session, stream), "listen")
         _, second = yield from harness.gateway("g1")
-        with contextlib.suppress(Lost):  # sending to the closed port may end in a reset
+        with contextlib.suppress(ConnectionLost):  # sending to the closed port may end in a reset
             assert (yield from second.read()) == b""
         harness.call(session, 1)
         yield from harness.kernel.sleep(2 * SECOND)
@@ -124,7 +124,7 @@
                 yield from harness.kernel.sleep(5 * MS)
         harness.call(session, 1)
         yield from harness.kernel.sleep(2 * SECOND)
-        with pytest.raises(Lost):
+        with pytest.raises(ConnectionLost):
             while (yield from stalled_stream.read()):
                 pass
 
@@ -158,15 +158,15 @@
 
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
-        harness.world.fabric.exchanges[1].processor.silent = True
+        harness.world.network.exchanges[1].processor.silent = True
         session, stream = yield from harness.gateway()
         harness.kernel.spawn(harness.listen(session, stream), "listen")
         harness.call(session, 1)
         yield from harness.kernel.sleep(3 * SECOND)
 
     harness.run(body())
-    kinds = [type(event).__name__ for event in harness.events if getattr(event, "kept", None) == 1]
-    assert kinds == [StillPending.__name__, Answered.__name__]
+    kinds = [type(event).__name__ for event in harness.events if getattr(event, "attachment", None) == 1]
+    assert kinds == [PendingReceived.__name__, ReplyReceived.__name__]
     assert harness.answers()[1][0] == 510  # the try timed out; a set-up that is safe to repeat is refused
 
 
@@ -192,7 +192,7 @@
 def test_a_connection_reset_in_each_state_of_a_call(side: str, state: str) -> None:
     """At most one final answer, none to a gateway that has gone, and no circuit or call left at the end."""
     harness = AgentHarness(Limits())
-    exchange = harness.world.fabric.exchanges[1]
+    exchange = harness.world.network.exchanges[1]
 
     def reset(stream: Stream) -> None:
         if side == "gateway":
@@ -204,14 +204,14 @@
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
         session, stream = yield from harness.gateway()
-        harness.kernel.spawn(harness.listen(session, stream), "listen", watch=False)
+        harness.kernel.spawn(harness.listen(session, stream), "listen", report_errors=False)
         yield from harness.kernel.sleep(20 * MS)
         harness.call(session, 1)
         if state == "asked":
             reset(stream)
         elif state == "out":
             yield from harness.kernel.sleep(10 * MS)
-            assert exchange.agents["a0"].held
+            assert exchange.agents["a0"].calls
             reset(stream)
         while state in ("stands", "releasing") and not harness.answers():
             yield from harness.kernel.sleep(MS)
@@ -224,16 +224,18 @@
         new_session, new_stream = yield from harness.gateway(
             first_transaction_id=1000
         )  # restarted without its calls
-        harness.kernel.spawn(harness.listen(new_session, new_stream), "listen", watch=False)
+        harness.kernel.spawn(harness.listen(new_session, new_stream), "listen", report_errors=False)
         yield from harness.kernel.sleep(3 * SECOND)
 
     harness.run(body())
-    answers = [event for event in harness.events if isinstance(event, Answered) and event.kept == 1]
+    answers = [
+        event for event in harness.events if isinstance(event, ReplyReceived) and event.attachment == 1
+    ]
     expected = {"gateway": {"asked": 0, "out": 0}}.get(side, {}).get(state, 1)
     assert len(answers) == expected
     assert harness.agent.calls == {} and harness.agent.terminations == {}
-    assert not exchange.agents["a0"].held and harness.world.fabric.leaks() == 0
-    assert all(group.taken == 0 for group in harness.world.fabric.groups.values())
+    assert not exchange.agents["a0"].calls and harness.world.network.leaks() == 0
+    assert all(group.in_use == 0 for group in harness.world.network.groups.values())
     assert harness.agent.guard.refusals == {} and harness.kernel.crashes == []
 
 
@@ -242,7 +244,7 @@
 
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
-        harness.kernel.network.cut_up = 0.0
+        harness.kernel.network.split_probability = 0.0
         session, stream = yield from harness.gateway()
         harness.kernel.spawn(harness.listen(session, stream), "listen")
         yield from harness.kernel.sleep(20 * MS)
@@ -256,21 +258,21 @@
     harness.run(body())
     assert harness.answers() == {}
     assert harness.agent.counts.values.get("guard_refusals", 0) == 0
-    assert harness.agent.calls == {} and harness.world.fabric.leaks() == 0
+    assert harness.agent.calls == {} and harness.world.network.leaks() == 0
 
 
 def test_an_unanswered_hello_is_repeated_until_the_restart_is_known() -> None:
     """Guards against a lost hello reply: the agent misses the restart and keeps transit calls for ever."""
     harness = AgentHarness(Limits())
-    exchange = harness.world.fabric.exchanges[0]  # the agent's own
+    exchange = harness.world.network.exchanges[0]  # the agent's own
     cold_until: list[int] = []
 
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
         exchange.restart_cold()
-        exchange.flags.mute = True  # accepts connections but does not answer the hello
+        exchange.socket_faults.mute = True  # accepts connections but does not answer the hello
         yield from harness.kernel.sleep(600 * MS)
-        exchange.flags.mute = False
+        exchange.socket_faults.mute = False
         before = harness.agent.guard.exchanges[exchange.name].cold_until
         yield from harness.kernel.sleep(3 * SECOND)
         cold_until.extend((before, harness.agent.guard.exchanges[exchange.name].cold_until))
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -6,14 +6,14 @@
 
 from peattrestle.h248 import package, text
 from peattrestle.h248.package import BadValue, Outcome, SetUpRequest
-from peattrestle.h248.session import BadPeer, MalformedMessage, Session
+from peattrestle.h248.session import MalformedMessage, ProtocolViolation, Session
 from peattrestle.h248.tpkt import BadFrame, Framer, frame
 from peattrestle.h248.transactions import (
     LONG_TIMER,
-    Answered,
-    Duplicate,
+    DuplicateRequest,
     NewRequest,
-    StillPending,
+    PendingReceived,
+    ReplyReceived,
     TooManyOpenRequests,
     Transactions,
     UnknownTransaction,
@@ -50,10 +50,10 @@
 def test_a_repeated_request_is_carried_out_once() -> None:
     peer = Transactions()
     assert peer.receive(0, REQUEST) == NewRequest(REQUEST)
-    assert peer.receive(1, REQUEST) == Duplicate("Pending=5{}")  # still being carried out
+    assert peer.receive(1, REQUEST) == DuplicateRequest("Pending=5{}")  # still being carried out
     peer.answer(5, "Reply=5{...}")
-    assert peer.receive(2, REQUEST) == Duplicate("Reply=5{...}")
-    assert peer.receive(LONG_TIMER - 1, REQUEST) == Duplicate("Reply=5{...}")
+    assert peer.receive(2, REQUEST) == DuplicateRequest("Reply=5{...}")
+    assert peer.receive(LONG_TIMER - 1, REQUEST) == DuplicateRequest("Reply=5{...}")
     with pytest.raises(KeyError):
         peer.answer(5, "another")
     peer.receive(3, text.Ack([(1, 9)]))
@@ -64,8 +64,8 @@
 def test_a_request_still_being_carried_out_is_not_forgotten() -> None:
     peer = Transactions()
     peer.receive(0, REQUEST)
-    assert peer.receive(3 * LONG_TIMER, REQUEST) == Duplicate("Pending=5{}")
-    assert peer.receive(9 * LONG_TIMER, REQUEST) == Duplicate("Pending=5{}")
+    assert peer.receive(3 * LONG_TIMER, REQUEST) == DuplicateRequest("Pending=5{}")
+    assert peer.receive(9 * LONG_TIMER, REQUEST) == DuplicateRequest("Pending=5{}")
 
 
 def test_replies_out_of_order_late_and_unknown() -> None:
@@ -73,9 +73,9 @@
     ids = [peer.begin(name) for name in "abc"]
     assert ids == [(1 << 32) - 2, (1 << 32) - 1, 1]  # 0 is no id
     reply = text.Reply(ids[2])
-    assert peer.receive(0, reply) == Answered("c", reply)
+    assert peer.receive(0, reply) == ReplyReceived("c", reply)
     assert peer.receive(0, reply) == UnknownTransaction(1)  # a second time
-    assert peer.receive(0, text.Pending(ids[0])) == StillPending("a")
+    assert peer.receive(0, text.Pending(ids[0])) == PendingReceived("a")
     peer.close(ids[0])
     assert peer.receive(0, text.Reply(ids[0])) == UnknownTransaction(ids[0])
     assert peer.close_all() == ["b"]
@@ -90,7 +90,7 @@
         peer.begin(None)
     for transaction_id in range(1, 6):
         peer.receive(0, text.Request(transaction_id, REQUEST.actions))
-    assert list(peer.served) == [3, 4, 5] and peer.evicted_early == 2
+    assert list(peer.received_requests) == [3, 4, 5] and peer.evicted_early == 2
 
 
 def test_acknowledgements_are_batched() -> None:
@@ -128,14 +128,14 @@
 
 def test_too_many_malformed_messages_in_a_row_end_the_session() -> None:
     session, _ = make_session()
-    with pytest.raises(BadPeer):
+    with pytest.raises(ProtocolViolation):
         session.feed(0, message("Dance") * 30)
 
 
 def test_a_peer_must_not_change_its_message_identifier() -> None:
     session, _ = make_session()
     session.feed(0, message("Pending=1{}"))
-    with pytest.raises(BadPeer):
+    with pytest.raises(ProtocolViolation):
         session.feed(0, message("Pending=1{}", "<g2>"))
 
 
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -17,7 +17,7 @@
 from peattrestle.exchangeline.lines import Line
 from peattrestle.platform import config as configuration
 from peattrestle.platform.agent import Agent
-from peattrestle.runtime import Coroutine, Lost, Stream
+from peattrestle.runtime import ConnectionLost, Coroutine, Stream
 from peattrestle.runtime.epoll import EpollKernel
 from peattrestle.runtime.virtual import Network, VirtualKernel
 from peattrestle.sip import text as sip
@@ -107,10 +107,10 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
             self.streams.append(stream)
-            self.harness.kernel.spawn(self.serve(stream), "exchange's connection", watch=False)
+            self.harness.kernel.spawn(self.serve(stream), "exchange's connection", report_errors=False)
 
     def serve(self, stream: Stream) -> Coroutine[None]:
         reader = lines.Reader()
@@ -161,7 +161,7 @@
                 reader.feed(data)
                 while (message := reader.next()) is not None:
                     self.messages.append(message)
-        except Lost:
+        except ConnectionLost:
             pass
         self.closed_at = self.harness.kernel.now()
 
@@ -190,9 +190,9 @@
         while True:
             try:
                 stream = yield from self.listener.accept()
-            except Lost:
+            except ConnectionLost:
                 return
-            self.harness.kernel.spawn(self.serve(stream), "feed's connection", watch=False)
+            self.harness.kernel.spawn(self.serve(stream), "feed's connection", report_errors=False)
 
     def serve(self, stream: Stream) -> Coroutine[None]:
         data = b""
@@ -227,7 +227,7 @@
     port = 3868
 
     def __init__(self, seed: int = 1, **more: Any) -> None:
-        self.kernel: Any = VirtualKernel(seed, Network(cut_up=0.3))
+        self.kernel: Any = VirtualKernel(seed, Network(split_probability=0.3))
         self.open(more)
 
     def open(self, more: dict[str, Any]) -> None:
@@ -256,7 +256,7 @@
 
         def connect() -> Coroutine[None]:
             caller.stream = yield from self.kernel.connect(f"127.0.0.1:{self.port}", SECOND)
-            self.kernel.spawn(caller.run(), "caller", watch=False)
+            self.kernel.spawn(caller.run(), "caller", report_errors=False)
             caller.send(*data)
 
         self.kernel.spawn(connect(), "caller connects")
@@ -401,7 +401,9 @@
         exchange.send(stream, verb="PENDING", tag=line.tag)
         exchange.send(stream, verb="FINISH", tag="ffffffffffffffff", rc=16)
         if late:
-            harness.kernel.at(harness.kernel.now() + 2 * SECOND, lambda: exchange.answer_call(stream, line))
+            harness.kernel.call_at(
+                harness.kernel.now() + 2 * SECOND, lambda: exchange.answer_call(stream, line)
+            )
         else:
             exchange.answer_call(stream, line)
             exchange.answer_call(stream, line)
@@ -494,7 +496,7 @@
     if errors_continue:  # seen on the platform: invalid set-ups get errors while the host is down
         exchange.silent = True
         for ms in range(0, 8000, 300):
-            harness.kernel.at(
+            harness.kernel.call_at(
                 harness.kernel.now() + ms * MS,
                 lambda: exchange.send(exchange.streams[-1], verb="FINISH", tag="00000000000000bb", rc=47),
             )
@@ -577,7 +579,7 @@
             caller.stream = yield from harness.kernel.connect("127.0.0.1:3868", SECOND)
             yield from caller.run()
 
-        harness.kernel.spawn(connect(), "silent caller", watch=False)
+        harness.kernel.spawn(connect(), "silent caller", report_errors=False)
     harness.advance(50)
     assert len(harness.agent.connections.active) <= 64
     assert harness.caller(invite()).statuses() == [200]
@@ -714,7 +716,7 @@
                 exchange.send(stream, verb="LOAD", opts={"load": LOAD})
 
     for number in range(70):
-        harness.kernel.at(harness.kernel.now() + number * 20 * MS, send_reports)
+        harness.kernel.call_at(harness.kernel.now() + number * 20 * MS, send_reports)
     harness.advance(600)
     exchange.silent_streams = exchange.streams[:silent_count]
     exchange.on_set_up = (
@@ -724,7 +726,7 @@
     harness.advance(within_ms - 60)
     assert len(exchange.streams) == 2 + silent_count
     assert len(caller.statuses()) == 2 and caller.statuses().count(200) == 2 - silent_count
-    assert [text for _, text in harness.logs if "pressed" in text] == []
+    assert [text for _, text in harness.logs if "overloaded" in text] == []
     assert harness.caller(invite()).statuses() == [200]
 
 
--- a/tests/registry/test_roll.py
+++ b/tests/registry/test_exchange_list.py
@@ -8,17 +8,17 @@
 import pytest
 
 from peattrestle.membership.entries import BadEntry, parse_entry
-from peattrestle.membership.exchange_list import MembershipUpdate, Roll
+from peattrestle.membership.exchange_list import MembershipTracker, MembershipUpdate
 
 SECOND = 1_000_000_000
 PREFIX = b"/hubs/"
 
 
 class PublishedList:
-    """Applies changes to a `Roll` and keeps the exchange list that results: number and state by name."""
+    """Applies changes to a tracker and keeps the exchange list that results: number and state by name."""
 
     def __init__(self) -> None:
-        self.roll = Roll(PREFIX)
+        self.membership = MembershipTracker(PREFIX)
         self.revision = 0
         self.list: dict[str, tuple[int, str]] = {}
 
@@ -31,10 +31,10 @@
                 None if value is None else value if isinstance(value, bytes) else json.dumps(value).encode()
             )
             changes.append((PREFIX + name.encode(), data, self.revision))
-        return self.record(self.roll.apply(round(seconds * SECOND), changes))
+        return self.record(self.membership.apply(round(seconds * SECOND), changes))
 
     def advance(self, seconds: float) -> MembershipUpdate:
-        return self.record(self.roll.advance(round(seconds * SECOND)))
+        return self.record(self.membership.advance(round(seconds * SECOND)))
 
     def record(self, update: MembershipUpdate) -> MembershipUpdate:
         for member in update.members:
@@ -102,9 +102,9 @@
     exchange_list.apply(0, **ready_exchanges(3))
     update = exchange_list.apply(1, x1=b"{", x9=b"{", x2={"number": 2, "state": "draining"})
     assert exchange_list.states() == {"x0": "ready", "x1": "ready", "x2": "draining"}
-    assert len(update.notes) == 2 and "its last valid entry stays in force" in update.notes[0]
-    assert exchange_list.apply(2, x1=b"{").notes == ()  # logged once
-    assert "valid again" in exchange_list.apply(3, x1={"number": 1}).notes[0]
+    assert len(update.log_messages) == 2 and "its last valid entry stays in force" in update.log_messages[0]
+    assert exchange_list.apply(2, x1=b"{").log_messages == ()  # logged once
+    assert "valid again" in exchange_list.apply(3, x1={"number": 1}).log_messages[0]
     exchange_list.apply(4, x1=b"{")
     exchange_list.apply(5, x1=None)
     assert exchange_list.states()["x1"] == "gone"
@@ -116,7 +116,7 @@
     update = exchange_list.apply(1, new={"number": 4})
     assert (
         exchange_list.states() == {"old": "draining", "new": "ready"}
-        and "both claim number 4" in update.notes[0]
+        and "both claim number 4" in update.log_messages[0]
     )
     exchange_list.apply(2, new={"number": 4, "state": "draining"})
     assert exchange_list.states() == {"old": "ready", "new": "draining"}
@@ -132,7 +132,7 @@
     exchange_list.apply(0, **ready_exchanges(count))
     update = exchange_list.apply(1, **{f"x{number}": None for number in range(lost)})
     gone = [name for name, state in exchange_list.states().items() if state == "gone"]
-    assert (gone == []) is kept and bool(update.notes) is kept
+    assert (gone == []) is kept and bool(update.log_messages) is kept
     exchange_list.advance(30.5)
     assert (exchange_list.states()["x0"] == "gone") is not kept
     exchange_list.advance(31)  # the loss is confirmed after 30 s
@@ -176,7 +176,7 @@
             exchange_list.advance(now)
         delays.append(now - returned_at)
     assert delays[:4] == [0, 1, 2, 4] and max(delays) == 60 and delays == sorted(delays)
-    assert exchange_list.roll.due() == -1
+    assert exchange_list.membership.next_due_at() == -1
     exchange_list.apply(now + 200, x1=None)
     exchange_list.apply(now + 300, x1={"number": 1})
     assert exchange_list.states()["x1"] == "ready"  # a return after a long absence is no flap
@@ -187,28 +187,28 @@
     exchange_list.apply(0, **ready_exchanges(2))
     put = b'{"number": 1, "address": "127.0.0.1:9"}'
     key = PREFIX + b"x1"
-    exchange_list.record(exchange_list.roll.apply(SECOND, [(key, None, 0), (key, put, 9)]))
+    exchange_list.record(exchange_list.membership.apply(SECOND, [(key, None, 0), (key, put, 9)]))
     assert exchange_list.states()["x1"] == "ready"
-    exchange_list.record(exchange_list.roll.apply(SECOND, [(key, put, 9), (key, None, 0)]))
+    exchange_list.record(exchange_list.membership.apply(SECOND, [(key, put, 9), (key, None, 0)]))
     assert exchange_list.states()["x1"] == "gone"
 
 
 def test_removed_exchanges_are_forgotten_and_the_last_confirmation_is_recorded() -> None:
     exchange_list = PublishedList()
-    assert exchange_list.roll.confirmed_at == -1
+    assert exchange_list.membership.confirmed_at == -1
     exchange_list.apply(0, **ready_exchanges(4))
-    exchange_list.roll.confirm(7 * SECOND)
-    assert exchange_list.roll.confirmed_at == 7 * SECOND
+    exchange_list.membership.confirm(7 * SECOND)
+    assert exchange_list.membership.confirmed_at == 7 * SECOND
     exchange_list.apply(8, x1=None)
     exchange_list.advance(8 + 61)
-    assert set(exchange_list.roll.exchanges) == {"x0", "x2", "x3"}
+    assert set(exchange_list.membership.exchanges) == {"x0", "x2", "x3"}
 
 
 def test_exchanges_above_the_limit_are_ignored_and_logged() -> None:
     exchange_list = PublishedList()
-    exchange_list.roll.MAX_EXCHANGES = 4
+    exchange_list.membership.MAX_EXCHANGES = 4
     update = exchange_list.apply(0, **ready_exchanges(6))
-    assert set(exchange_list.states()) == {"x0", "x1", "x2", "x3"} and len(update.notes) == 2
+    assert set(exchange_list.states()) == {"x0", "x1", "x2", "x3"} and len(update.log_messages) == 2
     exchange_list.apply(1, x3={"number": 3, "state": "draining"})
     assert exchange_list.states()["x3"] == "draining"
 
@@ -218,4 +218,4 @@
     exchange_list.apply(0, **ready_exchanges(4))
     exchange_list.apply(1, x0=None)
     exchange_list.apply(1.2, x0={"number": 0})
-    assert exchange_list.apply(1.4, x0=None, x1=None).notes == ()
+    assert exchange_list.apply(1.4, x0=None, x1=None).log_messages == ()
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -7,7 +7,7 @@
 import pytest
 
 from peattrestle.registry import etcd
-from peattrestle.registry.etcd import Event, Failed, Header, KeyValue, Range, WatchResponse
+from peattrestle.registry.etcd import ErrorAnswer, Event, Header, KeyValue, Range, WatchResponse
 from peattrestle.registry.follower import (
     AWAY,
     WATCHING,
@@ -72,7 +72,7 @@
         for change in action.changes:
             change_id = (change.key, change.revision)
             self.application_counts[change_id] = self.application_counts.get(change_id, 0) + 1
-            if not action.whole:
+            if not action.is_full_read:
                 self.order.append(change.revision)
             if change.value is None:
                 del self.keys[change.key]  # raises KeyError if a key is deleted twice
@@ -201,10 +201,10 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "strange"),
+    ("change", "replaced_reason"),
     [({"cluster": 8}, "cluster 8 in place of 7"), ({"revision": 2}, "revision 2 after 4")],
 )
-def test_another_registry_or_an_older_copy_is_reported(change: dict[str, int], strange: str) -> None:
+def test_another_registry_or_an_older_copy_is_reported(change: dict[str, int], replaced_reason: str) -> None:
     registry = Registry()
     for number in range(3):
         registry.put(f"/x/{number}".encode(), b"a")
@@ -213,7 +213,7 @@
     other.revision = change.get("revision", 50)
     assert follower.on_watch_message(WatchResponse(other.header(), created=True), 0.5) == [RequestRead()]
     apply = follower.on_read(other.range())[0]
-    assert isinstance(apply, Apply) and apply.strange == strange
+    assert isinstance(apply, Apply) and apply.replaced_reason == replaced_reason
     assert [(each.key, each.value) for each in apply.changes] == [
         (f"/x/{number}".encode(), None) for number in range(3)
     ]
@@ -283,19 +283,26 @@
         assert isinstance(wait, Wait)
         waits.append(wait.length)
         follower.start_request()
-    assert waits == [follower.least // 2, 2 * follower.least, 2 * follower.least, 8 * follower.least]
+    assert waits == [
+        follower.min_retry_delay // 2,
+        2 * follower.min_retry_delay,
+        2 * follower.min_retry_delay,
+        8 * follower.min_retry_delay,
+    ]
     follower.on_watch_message(WatchResponse(registry.header()), 0.5)
     (wait,) = follower.on_connection_lost(1.0)
-    assert wait == Wait(follower.least)
+    assert wait == Wait(follower.min_retry_delay)
     follower.start_request()
     for _ in range(4):
         follower.on_connection_lost(1.0)
         follower.start_request()
-    follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5)
+    follower.on_error(ErrorAnswer(etcd.OUT_OF_RANGE, "compacted"), 0.5)
     follower.on_read(registry.range())
-    assert follower.on_connection_lost(1.0) == [Wait(follower.least)]  # a full read restarts them too
+    assert follower.on_connection_lost(1.0) == [
+        Wait(follower.min_retry_delay)
+    ]  # a full read restarts them too
     follower.start_request()
-    assert follower.on_error(Failed(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
+    assert follower.on_error(ErrorAnswer(etcd.OUT_OF_RANGE, "compacted"), 0.5) == [RequestRead()]
 
 
 HEADER = b'"header":{"cluster_id":"1","revision":"5"}'
@@ -351,7 +358,7 @@
     failed = etcd.read_watch_response(
         b'{"error":{"grpc_code":11,"code":11,"message":"mvcc: required revision has been compacted"}}'
     )
-    assert isinstance(failed, Failed) and failed.compacted
+    assert isinstance(failed, ErrorAnswer) and failed.compacted
 
 
 @pytest.mark.parametrize(("prefix", "end"), [(b"/x/", b"/x0"), (b"a\xff", b"b"), (b"\xff\xff", b"\x00")])
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -15,7 +15,7 @@
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.runtime.epoll import EpollKernel
 from peattrestle.runtime.virtual import Network, VirtualKernel
-from peattrestle.standin.registry import StandinRegistry
+from peattrestle.standin.registry import SimulatedRegistry
 
 MS = 1_000_000  # nanoseconds
 SECOND = 1_000_000_000
@@ -26,7 +26,7 @@
 
     def __init__(self, kernel: Kernel, quiet: int = 2 * SECOND) -> None:
         self.kernel = kernel
-        self.registry = StandinRegistry(kernel, "127.0.0.1:0")
+        self.registry = SimulatedRegistry(kernel, "127.0.0.1:0")
         self.list: dict[str, str] = {}
         self.updated_at: dict[str, int] = {}
         self.update_count = 0
@@ -40,11 +40,11 @@
             lambda level, text, **fields: self.logs.append((text, fields)),
             lambda name: self.counts.update({name: self.counts.get(name, 0) + 1}),
             "a1",
-            dial=500 * MS,
-            answer=SECOND,
-            quiet=quiet,
-            least=50 * MS,
-            most=400 * MS,
+            dial_timeout=500 * MS,
+            answer_timeout=SECOND,
+            idle_timeout=quiet,
+            min_retry_wait=50 * MS,
+            max_retry_wait=400 * MS,
         )
         kernel.spawn(self.source.run(), "source")
 
@@ -67,9 +67,9 @@
     body: Callable[[FollowedRegistry], Coroutine[None]], seed: int = 1, **options: Any
 ) -> FollowedRegistry:
     """Runs `body` on a virtual kernel until it stops the kernel, for at most 600 s of virtual time."""
-    kernel = VirtualKernel(seed, Network(cut_up=0.3))
+    kernel = VirtualKernel(seed, Network(split_probability=0.3))
     followed = FollowedRegistry(kernel, **options)
-    task = kernel.spawn(body(followed), "test", watch=False)
+    task = kernel.spawn(body(followed), "test", report_errors=False)
     kernel.run(kernel.now() + 600 * SECOND if not task.done else 0)
     assert task.done
     if task.error is not None:
@@ -110,21 +110,21 @@
         for _ in range(25):
             fault = rng.choice(FAULTS)
             if fault == "leave":
-                registry.leave()
+                registry.go_down()
             elif fault == "doubled":
-                faults.doubled = True
+                faults.duplicate_events = True
             elif fault == "cut":
-                faults.cut_after = rng.randrange(400)
+                faults.reset_after_bytes = rng.randrange(400)
             elif fault == "mute":
                 faults.mute = True
                 for stream in list(registry.streams):
                     stream.abort()
             elif fault == "late":
-                faults.late = 300 * MS
+                faults.reply_delay = 300 * MS
             elif fault == "error":
                 faults.error = 503
             elif fault == "stuck":
-                faults.news_stuck = True
+                faults.hold_events = True
             elif fault == "reset":
                 for stream in list(registry.streams):
                     stream.abort()
@@ -138,12 +138,12 @@
             if fault == "compact" or rng.random() < 0.3:
                 registry.compact()
             if fault == "progress":
-                registry.progress()
+                registry.send_progress()
             yield from followed.kernel.sleep(rng.randrange(2000) * MS)
-            faults.doubled = faults.mute = faults.news_stuck = False
-            faults.late = faults.error = 0
-            faults.cut_after = -1
-            registry.come_back()
+            faults.duplicate_events = faults.mute = faults.hold_events = False
+            faults.reply_delay = faults.error = 0
+            faults.reset_after_bytes = -1
+            registry.recover()
         yield from followed.kernel.sleep(
             200 * SECOND
         )  # readmission after flaps is delayed by at most a minute
@@ -164,11 +164,11 @@
     def body(followed: FollowedRegistry) -> Coroutine[None]:
         followed.put("x1")
         yield from followed.kernel.sleep(SECOND)
-        followed.registry.faults.news_stuck = True
+        followed.registry.faults.hold_events = True
         followed.put("x1", "draining")
         yield from followed.kernel.sleep(500 * MS)
         assert followed.list["x1"] == "ready"
-        followed.registry.faults.news_stuck = False
+        followed.registry.faults.hold_events = False
         yield from followed.kernel.sleep(2 * SECOND)
         assert followed.list["x1"] == "draining"
         assert followed.source.follower.counts.reads == 1
@@ -202,16 +202,16 @@
         followed.put("x1")
         while followed.list.get("x1") != "ready":
             yield from kernel.sleep(10 * MS)
-        followed.registry.leave()
+        followed.registry.go_down()
         followed.put("x1", "draining")
         yield from kernel.sleep(200 * MS)
-        followed.registry.come_back()
+        followed.registry.recover()
         while followed.list.get("x1") != "draining":
             yield from kernel.sleep(10 * MS)
         kernel.stop()
 
     kernel.spawn(body(), "test")
-    kernel.at(kernel.now() + 20 * SECOND, kernel.stop)
+    kernel.call_at(kernel.now() + 20 * SECOND, kernel.stop)
     kernel.run()
     kernel.close()
     assert followed.list == {"x1": "draining"} and kernel.crashes == []
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -9,7 +9,7 @@
 
 from peattrestle import interface as api
 from peattrestle.agent.agent import CallAgent
-from peattrestle.calls.core import ANSWERED, Final
+from peattrestle.calls.core import ANSWERED, FinalAnswer
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.h248 import package
@@ -57,9 +57,11 @@
         if self.fault in ("leaving", "cold", "no release time"):
             self.controller = CarelessController(self)
 
-    def answer(self, call: Any, final: Final) -> None:
+    def answer(self, call: Any, final: FinalAnswer) -> None:
         if self.fault == "late" and final.kind == ANSWERED and call.id % 5 == 0:
-            self.kernel.at(call.abandon_at + 200 * MS, lambda: super(FaultyAgent, self).answer(call, final))
+            self.kernel.call_at(
+                call.abandon_at + 200 * MS, lambda: super(FaultyAgent, self).answer(call, final)
+            )
             return
         if self.fault == "never" and call.id % 5 == 0:
             if call.answer_timer is not None:
@@ -71,7 +73,7 @@
                 super().answer(call, final)
             elif call.requester.session is not None:
                 outcome = self.to_outcome(call, final)
-                text = package.outcome_text(call.transaction, call.request.termination, outcome)
+                text = package.outcome_text(call.transaction_id, call.request.termination, outcome)
                 call.requester.session.send(text)
 
     def set_up(self, action: api.SetUp) -> None:
