--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -13,17 +13,17 @@
 
 from peattrestle.runtime import (
     Cancelled,
+    ConnectFailed,
+    ConnectionLost,
     Coroutine,
     Event,
     Kernel,
     Listener,
-    Lost,
     Queue,
-    Refused,
     Stream,
     TimedOut,
 )
-from peattrestle.runtime.epoll import EpollKernel, split
+from peattrestle.runtime.epoll import EpollKernel, split_address
 from peattrestle.runtime.virtual import Network, VirtualKernel, VirtualProcess
 
 MS = 1_000_000  # nanoseconds
@@ -38,7 +38,7 @@
 
 def run(kernel: Kernel, body: Coroutine[Any]) -> Any:
     """Runs a coroutine and returns its result or raises its error; fails after 20 s of the kernel's time."""
-    task = kernel.spawn(body, "test", watch=False)
+    task = kernel.spawn(body, "test", report_errors=False)
 
     def end() -> Coroutine[None]:
         with contextlib.suppress(Exception):
@@ -76,9 +76,9 @@
     def body() -> Coroutine[None]:
         at = kernel.now() + 2 * MS
         for name in "abc":
-            kernel.at(at, lambda name=name: seen.append(name))  # type: ignore[misc]
-        kernel.at(at - MS, lambda: seen.append("first"))
-        kernel.at(at, lambda: seen.append("never")).cancel()
+            kernel.call_at(at, lambda name=name: seen.append(name))  # type: ignore[misc]
+        kernel.call_at(at - MS, lambda: seen.append("first"))
+        kernel.call_at(at, lambda: seen.append("never")).cancel()
         kernel.at_turn_end(lambda: seen.append("turn"))
         yield from kernel.sleep(10 * MS)
 
@@ -91,7 +91,7 @@
 
     def body() -> Coroutine[None]:
         at = kernel.now() + 300 * MS
-        timers = [kernel.at(at + n, partial(fired.append, n)) for n in range(50_000)]
+        timers = [kernel.call_at(at + n, partial(fired.append, n)) for n in range(50_000)]
         for number, timer in enumerate(timers):
             if number % 50:
                 timer.cancel()
@@ -178,9 +178,9 @@
         with pytest.raises(KeyError):
             yield from kernel.spawn(raise_after_sleep(), "joined").join()
         with pytest.raises(KeyError):
-            yield from kernel.within(50 * MS, raise_after_sleep())
+            yield from kernel.with_timeout(50 * MS, raise_after_sleep())
         with pytest.raises(TimedOut):
-            yield from kernel.within(5 * MS, kernel.sleep(5000 * MS))
+            yield from kernel.with_timeout(5 * MS, kernel.sleep(5000 * MS))
 
     run(kernel, body())
     assert [name for name, _ in kernel.crashes] == ["alone"]
@@ -195,7 +195,7 @@
             here.write(sent[offset : offset + 50_000])
         yield from kernel.sleep(50 * MS)
         assert here.unsent > 0  # bytes that the peer does not read stay with the writer
-        here.finish()
+        here.close_write()
         received = yield from read_all(there)
         yield from here.drain(1)
         return received
@@ -207,10 +207,10 @@
     def body() -> Coroutine[tuple[bytes, bytes]]:
         here, there, _ = yield from connected_pair(kernel)
         here.write(b"question")
-        here.finish()
+        here.close_write()
         question = yield from read_all(there)
         there.write(b"answer")
-        there.finish()
+        there.close_write()
         return question, (yield from read_all(here))
 
     assert run(kernel, body()) == (b"question", b"answer")
@@ -220,7 +220,7 @@
 def test_a_connection_that_ends_during_a_read(kernel: Kernel, how: str) -> None:
     def body() -> Coroutine[None]:
         here, there, _ = yield from connected_pair(kernel)
-        reader = kernel.spawn(here.read(), "reader", watch=False)
+        reader = kernel.spawn(here.read(), "reader", report_errors=False)
         yield from kernel.sleep(10 * MS)
         if how == "abort":
             there.abort()
@@ -234,11 +234,11 @@
         yield from kernel.sleep(50 * MS)
         if how == "write after the peer is gone":
             assert reader.result == b""  # the end of the stream first, then the reset
-            with pytest.raises(Lost):
+            with pytest.raises(ConnectionLost):
                 yield from here.read()
                 yield from here.read()
         else:
-            with pytest.raises(Lost):
+            with pytest.raises(ConnectionLost):
                 yield from reader.join()
         here.write(b"thrown away")
         assert here.unsent == 0
@@ -252,9 +252,9 @@
         listener = kernel.listen("127.0.0.1:0")
         address = listener.address
         listener.close()
-        with pytest.raises(Refused):
+        with pytest.raises(ConnectFailed):
             yield from kernel.connect(address, 500 * MS)
-        with pytest.raises(Lost):
+        with pytest.raises(ConnectionLost):
             yield from listener.accept()
 
     run(kernel, body())
@@ -272,7 +272,7 @@
 @pytest.mark.parametrize("address", ["10.0.0.1:1", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:70000", "::1:5"])
 def test_only_loopback_addresses_are_accepted(address: str) -> None:
     with pytest.raises(ValueError):
-        split(address)
+        split_address(address)
 
 
 def test_accept_continues_after_file_descriptors_ran_out() -> None:
@@ -301,7 +301,7 @@
         os.close(fillers.pop())
         try:
             shed = yield from kernel.connect(listener.address, 500 * MS)
-            end = yield from kernel.within(1000 * MS, shed.read())
+            end = yield from kernel.with_timeout(1000 * MS, shed.read())
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             for filler in fillers:
@@ -318,7 +318,7 @@
 
 def run_transfer(seed: int) -> tuple[list[bytes], int]:
     """The segments received in a virtual run, and the time at its end."""
-    kernel = VirtualKernel(seed, Network(cut_up=0.5))
+    kernel = VirtualKernel(seed, Network(split_probability=0.5))
     received: list[bytes] = []
 
     def body() -> Coroutine[None]:
@@ -326,7 +326,7 @@
         for number in range(50):
             here.write(bytes([number]) * 100)
             yield from kernel.sleep(MS // 3)
-        here.finish()
+        here.close_write()
         while data := (yield from there.read()):
             received.append(data)
 
@@ -346,13 +346,13 @@
 
     def child() -> Coroutine[None]:
         listener = process.listen("127.0.0.1:7000")
-        process.at(process.now() + 50 * MS, lambda: seen.append("timer"))
+        process.call_at(process.now() + 50 * MS, lambda: seen.append("timer"))
         stream = yield from listener.accept()
         try:
             yield from stream.read()
         finally:
             stream.write(b"last words")
-            process.at(process.now(), lambda: seen.append("last timer"))
+            process.call_at(process.now(), lambda: seen.append("last timer"))
 
     def body() -> Coroutine[None]:
         process.spawn(child(), "child")
@@ -360,9 +360,9 @@
         stream = yield from kernel.connect("127.0.0.1:7000", 100 * MS)
         yield from kernel.sleep(10 * MS)
         process.kill()
-        with pytest.raises(Lost):
+        with pytest.raises(ConnectionLost):
             yield from stream.read()
-        with pytest.raises(Refused):
+        with pytest.raises(ConnectFailed):
             yield from kernel.connect("127.0.0.1:7000", 100 * MS)
         yield from kernel.sleep(100 * MS)
 
@@ -380,7 +380,7 @@
         yield from kernel.sleep(30 * MS)
         kernel.network.cut = lambda source, address: False
         here.write(b"second")
-        here.finish()
+        here.close_write()
         return (yield from read_all(there))
 
     assert run(kernel, body()) == b"firstsecond"
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -10,7 +10,7 @@
 from peattrestle.h248 import package, text
 from peattrestle.h248.package import BadValue, Notice
 from peattrestle.h248.session import Session
-from peattrestle.h248.transactions import Answered, NewRequest
+from peattrestle.h248.transactions import NewRequest, ReplyReceived
 from peattrestle.runtime import Coroutine
 from peattrestle.settings.agent import Limits
 from tests.agent.test_bounds import AgentHarness
@@ -37,11 +37,11 @@
         session, stream = yield from harness.gateway(name)
         while data := (yield from stream.read()):
             for message in session.feed(harness.kernel.now(), data):
-                if not isinstance(message, Answered) or message.kept != "hello":
+                if not isinstance(message, ReplyReceived) or message.attachment != "hello":
                     continue
                 reply_items = services(message)
                 if "ptl/wai" in reply_items:
-                    harness.kernel.at(
+                    harness.kernel.call_at(
                         harness.kernel.now() + int(reply_items["ptl/wai"]),
                         lambda: restart_again(session),
                     )
@@ -52,7 +52,7 @@
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
         for number in range(20):
-            harness.kernel.spawn(gateway(f"g{number}"), f"g{number}", watch=False)
+            harness.kernel.spawn(gateway(f"g{number}"), f"g{number}", report_errors=False)
         yield from harness.kernel.sleep(4 * SECOND)
 
     harness.run(body())
@@ -81,7 +81,7 @@
                     session.reply(
                         message.request.id, package.command_reply(message.request.id, "-", "Notify", "ROOT")
                     )
-                elif isinstance(message, Answered) and isinstance(message.kept, int):
+                elif isinstance(message, ReplyReceived) and isinstance(message.attachment, int):
                     outcome = package.read_outcome(message.reply)
                     codes.append((outcome.code, outcome.retry_after))
 
@@ -99,7 +99,7 @@
     def body() -> Coroutine[None]:
         yield from harness.kernel.sleep(SECOND)
         session, stream = yield from harness.gateway()
-        harness.kernel.spawn(receive(session, stream), "receive", watch=False)
+        harness.kernel.spawn(receive(session, stream), "receive", report_errors=False)
         for number in range(300):  # 200 a second; the trunk group has a few circuits
             harness.call(session, number)
             yield from harness.kernel.sleep(5 * MS)
@@ -108,7 +108,7 @@
     harness.run(body())
     assert len(codes) == 300  # one final answer each, limited or not
     assert len(limited_calls) == harness.agent.counts.values["held_to_share"] > 10
-    assert all(come_back > 0 for code, come_back in codes if code == package.REFUSED)
+    assert all(retry_after > 0 for code, retry_after in codes if code == package.REFUSED)
     assert notices[0].lifetime > 0 and notices[0].rate < 200
     assert notices[-1].lifetime == 0  # lifted
     assert [notice.number for notice in notices] == sorted({notice.number for notice in notices})
