--- a/peattrestle/membership/exchange_list.py
+++ b/peattrestle/membership/exchange_list.py
@@ -61,7 +61,9 @@
 class MembershipTracker:
     """Tracks the exchanges in the registry and returns the changes to publish.
 
-    Times are nanoseconds of the caller's clock. `prefix` is the common prefix of the exchanges' keys.
+    Times are nanoseconds of the caller's clock. `prefix`: the common prefix of the exchanges' keys.
+    `confirmed_at`: when the registry last confirmed the list, -1 for never. `invalid_entries`: for each
+    exchange whose entry is invalid, the error.
     """
 
     REMOVAL_CONFIRMATION_NS = 30 * SECOND
@@ -88,7 +90,7 @@
 
         Each change is the key, its value (None if deleted) and the revision that created the key.
         """
-        notes: list[str] = []
+        log_messages: list[str] = []
         gone: dict[str, None] = {}
         for key, value, created in changes:
             name = key[len(self.prefix) :].decode("ascii", "replace")
@@ -101,40 +103,42 @@
                 name, entry = parse_entry(self.prefix, key, value)
             except BadEntry as error:
                 if self.invalid_entries.get(name) != str(error):
-                    if len(self.invalid_entries) < 1000:
+                    if len(self.invalid_entries) < 1000:  # others are logged each time
                         self.invalid_entries[name] = str(error)
                     kept = "; its last valid entry stays in force" if name in self.exchanges else ""
-                    notes.append(f"invalid entry ignored: {error}{kept}")
+                    log_messages.append(f"invalid entry ignored: {error}{kept}")
                 continue
             if name not in self.exchanges and len(self.exchanges) >= self.MAX_EXCHANGES:
-                notes.append(f"{name}: ignored, the limit of {self.MAX_EXCHANGES} exchanges is reached")
+                log_messages.append(
+                    f"{name}: ignored, the limit of {self.MAX_EXCHANGES} exchanges is reached"
+                )
                 continue
             if self.invalid_entries.pop(name, None) is not None:
-                notes.append(f"{name}: entry is valid again")
+                log_messages.append(f"{name}: entry is valid again")
             if name in gone:  # deleted and put again within one batch: it left and is present
                 del gone[name]
                 self._mark_gone(now, self.exchanges[name])
-            self._update(now, Member(name, entry, created), notes)
-        self._remove(now, list(gone), notes)
+            self._update(now, Member(name, entry, created), log_messages)
+        self._remove(now, list(gone), log_messages)
         self.confirmed_at = now
-        return self.advance(now, notes)
+        return self.advance(now, log_messages)
 
-    def _update(self, now: int, member: Member, notes: list[str]) -> None:
+    def _update(self, now: int, member: Member, log_messages: list[str]) -> None:
         exchange = self.exchanges.get(member.name)
         if exchange is None:
             self.exchanges[member.name] = _TrackedExchange(member, Entry(member.entry.number, "gone"))
             return
-        was_away = exchange.doubtful_since < 0 and exchange.member.entry.state != "ready"
+        was_not_ready = exchange.doubtful_since < 0 and exchange.member.entry.state != "ready"
         if exchange.doubtful_since >= 0:
-            notes.append(f"{member.name}: listed by the registry again")
+            log_messages.append(f"{member.name}: listed by the registry again")
             exchange.doubtful_since = -1
-        elif was_away and member.entry.state == "ready":
-            self._record_return(now, exchange, notes)
+        elif was_not_ready and member.entry.state == "ready":
+            self._record_return(now, exchange, log_messages)
         elif exchange.member.entry.state == "ready" and member.entry.state != "ready":
             exchange.left_at = now
         exchange.member = member
 
-    def _record_return(self, now: int, exchange: _TrackedExchange, notes: list[str]) -> None:
+    def _record_return(self, now: int, exchange: _TrackedExchange, log_messages: list[str]) -> None:
         """Counts a return within `FLAP_WINDOW_NS` as a flap and delays readmission from the second on."""
         if now - exchange.left_at >= self.FLAP_WINDOW_NS:
             exchange.flap_count = 0
@@ -146,22 +150,24 @@
                 self.FIRST_READMISSION_DELAY_NS << min(exchange.flap_count - 2, 10),
             )
             exchange.readmit_at = now + delay
-            notes.append(
+            log_messages.append(
                 f"{exchange.member.name}: flapping, returned {exchange.flap_count} times; "
                 f"readmitted in {delay / SECOND:g} s"
             )
 
-    def _remove(self, now: int, gone: list[str], notes: list[str]) -> None:
+    def _remove(self, now: int, gone: list[str], log_messages: list[str]) -> None:
         """Removes the exchanges named in `gone`, or keeps the ready ones as doubtful after a mass loss."""
         self._recent_removals = [
-            (at, name) for at, name in self._recent_removals if at > now - self.MASS_LOSS_WINDOW_NS
+            (removed_at, name)
+            for removed_at, name in self._recent_removals
+            if removed_at > now - self.MASS_LOSS_WINDOW_NS
         ]
         ready = [name for name in gone if self.exchanges[name].member.entry.state == "ready"]
         now_ready = {
             name for name, exchange in self.exchanges.items() if exchange.member.entry.state == "ready"
         }
-        before = {name for _, name in self._recent_removals}
-        lost, total = len(before.union(ready)), len(before | now_ready)
+        recently_removed = {name for _, name in self._recent_removals}
+        lost, total = len(recently_removed.union(ready)), len(recently_removed | now_ready)
         mass_loss = bool(ready) and lost >= self.MIN_MASS_LOSS and lost > self.MASS_LOSS_SHARE * total
         for name in gone:
             exchange = self.exchanges[name]
@@ -172,7 +178,7 @@
                 self._mark_gone(now, exchange)
         self._recent_removals += [(now, name) for name in ready]
         if mass_loss:
-            notes.append(
+            log_messages.append(
                 f"the registry lost {lost} of {total} exchanges at once: kept as doubtful "
                 f"until confirmed for {self.REMOVAL_CONFIRMATION_NS // SECOND} s"
             )
@@ -183,17 +189,17 @@
         exchange.doubtful_since = -1
         exchange.member = replace(exchange.member, entry=structs.replace(exchange.member.entry, state="gone"))
 
-    def advance(self, now: int, notes: list[str] | None = None) -> MembershipUpdate:
+    def advance(self, now: int, log_messages: list[str] | None = None) -> MembershipUpdate:
         """Returns the changes to publish at `now`, with removals confirmed and readmissions due by then."""
-        changed, notes = [], notes if notes is not None else []
+        changed, log_messages = [], log_messages if log_messages is not None else []
         for exchange in self.exchanges.values():
             if 0 <= exchange.doubtful_since <= now - self.REMOVAL_CONFIRMATION_NS:
-                notes.append(
+                log_messages.append(
                     f"{exchange.member.name}: removed, missing from the registry "
                     f"for {self.REMOVAL_CONFIRMATION_NS // SECOND} s"
                 )
                 self._mark_gone(now, exchange)
-        owners = self._number_owners(notes)
+        owners = self._number_owners(log_messages)
         for name, exchange in self.exchanges.items():
             entry = exchange.member.entry
             if entry.state == "ready" and now < exchange.readmit_at and exchange.published.state != "ready":
@@ -205,13 +211,13 @@
                 changed.append(replace(exchange.member, entry=entry))
         for name in [name for name, exchange in self.exchanges.items() if self._is_expired(now, exchange)]:
             del self.exchanges[name]
-        return MembershipUpdate(tuple(changed), tuple(notes))
+        return MembershipUpdate(tuple(changed), tuple(log_messages))
 
     def _is_expired(self, now: int, exchange: _TrackedExchange) -> bool:
         """Whether a removed exchange can be forgotten: a later return would not be a flap."""
         return exchange.member.entry.state == "gone" and now - exchange.left_at > self.FLAP_WINDOW_NS
 
-    def _number_owners(self, notes: list[str]) -> dict[int, str]:
+    def _number_owners(self, log_messages: list[str]) -> dict[int, str]:
         """Maps each number to the ready exchange with the newest key; of equally new ones, the last name."""
         owners: dict[int, str] = {}
         for name, exchange in self.exchanges.items():
@@ -228,7 +234,7 @@
                 loser = name
             if loser is not None and self.exchanges[loser].published.state == "ready":
                 winner = owners[exchange.member.entry.number]
-                notes.append(
+                log_messages.append(
                     f"{loser} and {winner} both claim number {exchange.member.entry.number}: "
                     f"the key of {winner} is newer"
                 )
@@ -236,16 +242,16 @@
 
     def next_due_at(self) -> int:
         """When `advance` must be called even without a change; -1 if nothing is pending."""
-        times = [
+        due_times = [
             exchange.doubtful_since + self.REMOVAL_CONFIRMATION_NS
             for exchange in self.exchanges.values()
             if exchange.doubtful_since >= 0
         ]
-        times += [
+        due_times += [
             exchange.readmit_at
             for exchange in self.exchanges.values()
             if exchange.member.entry.state == "ready"
             and exchange.published.state != "ready"
             and exchange.readmit_at
         ]
-        return min(times, default=-1)
+        return min(due_times, default=-1)
--- a/tests/registry/test_exchange_list.py
+++ b/tests/registry/test_exchange_list.py
@@ -67,7 +67,7 @@
         (b'{"number": 4, "zone": "' + b"z" * 5000 + b'"}', "at most"),
     ],
 )
-def test_entries(value: bytes, error: str) -> None:
+def test_valid_entries_are_parsed_and_invalid_ones_name_the_fault(value: bytes, error: str) -> None:
     if error:
         with pytest.raises(BadEntry, match=error):
             parse_entry(PREFIX, PREFIX + b"x4", value)
@@ -76,7 +76,7 @@
         assert (name, entry.number) == ("x4", 4)
 
 
-def test_invalid_exchange_names() -> None:
+def test_keys_without_a_valid_exchange_name_are_rejected() -> None:
     for key in (b"/hubs/", b"/hubs/a/b", b"/other/x", b"/hubs/" + b"x" * 65, b"/hubs/\xff"):
         with pytest.raises(BadEntry):
             parse_entry(PREFIX, key, b'{"number": 1}')
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize(
     ("count", "lost", "kept"), [(8, 5, True), (8, 4, False), (3, 3, True), (2, 2, False)]
 )
-def test_a_registry_that_loses_most_exchanges_at_once_is_not_believed(
+def test_a_loss_of_more_than_half_and_at_least_three_exchanges_takes_effect_after_30_s(
     count: int, lost: int, kept: bool
 ) -> None:
     exchange_list = PublishedList()
