--- a/peattrestle/registry/etcd.py
+++ b/peattrestle/registry/etcd.py
@@ -106,18 +106,18 @@
     return msgspec.json.encode({"create_request": create})
 
 
-def _read(data: bytes, kind: Any, what: str) -> Any:
+def _decode(data: bytes, answer_type: Any, place: str) -> Any:
     try:
-        return msgspec.convert(msgspec.json.decode(data), kind, strict=False)
+        return msgspec.convert(msgspec.json.decode(data), answer_type, strict=False)
     except msgspec.ValidationError as error:
-        raise BadAnswer(f"{what}: {error}") from None
+        raise BadAnswer(f"{place}: {error}") from None
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
-        raise BadAnswer(f"{what}: not JSON: {error}") from None
+        raise BadAnswer(f"{place}: not JSON: {error}") from None
 
 
-def _check_header(header: Header, what: str) -> None:
+def _check_header(header: Header, place: str) -> None:
     if header.revision <= 0 or header.cluster_id == 0:
-        raise BadAnswer(f"{what}: a header without revision or cluster_id")
+        raise BadAnswer(f"{place}: a header without revision or cluster_id")
 
 
 def read_range(data: bytes) -> Range:
@@ -125,7 +125,7 @@
 
     Raises `BadAnswer`, also if a key has a higher revision than the header.
     """
-    answer: Range = _read(data, Range, "range")
+    answer: Range = _decode(data, Range, "range")
     _check_header(answer.header, "range")
     for pair in answer.kvs:
         if not 0 < pair.mod_revision <= answer.header.revision:
@@ -140,28 +140,31 @@
 
     Raises `BadAnswer`, also if the events' revisions decrease or are higher than the header's.
     """
-    outer = _read(line, dict[str, Any], "watch")
+    outer = _decode(line, dict[str, Any], "watch")
     if "error" in outer:
         inner = outer["error"]
-        return _read(  # type: ignore[no-any-return]
+        return _decode(  # type: ignore[no-any-return]
             msgspec.json.encode(inner if isinstance(inner, dict) else outer), ErrorAnswer, "watch error"
         )
     if "result" not in outer:
         raise BadAnswer("watch: a message with neither result nor error")
-    response: WatchResponse = _read(msgspec.json.encode(outer["result"]), WatchResponse, "watch")
+    response: WatchResponse = _decode(msgspec.json.encode(outer["result"]), WatchResponse, "watch")
     _check_header(response.header, "watch")
-    before = 0
+    previous_revision = 0
     for event in response.events:
         if event.type not in ("PUT", "DELETE"):
-            raise BadAnswer(f"watch: an event of type {event.type!r}")
+            raise BadAnswer(f"watch: {event.kv.key!r} has an event of type {event.type!r}, not PUT or DELETE")
         if event.kv.mod_revision <= 0 or event.kv.mod_revision > response.header.revision:
             raise BadAnswer(
                 f"watch: {event.kv.key!r} has revision {event.kv.mod_revision}, "
                 f"the header {response.header.revision}"
             )
-        if event.kv.mod_revision < before:
-            raise BadAnswer(f"watch: revision {event.kv.mod_revision} after {before}")
-        before = event.kv.mod_revision
+        if event.kv.mod_revision < previous_revision:
+            raise BadAnswer(
+                f"watch: {event.kv.key!r} is out of order: "
+                f"revision {event.kv.mod_revision} after {previous_revision}"
+            )
+        previous_revision = event.kv.mod_revision
     return response
 
 
@@ -169,7 +172,7 @@
     """Parses the body of an answer whose status is not 200. A body that can't be parsed becomes the message,
     cut to 200 bytes."""
     try:
-        error: ErrorAnswer = _read(data, ErrorAnswer, "error")
+        error: ErrorAnswer = _decode(data, ErrorAnswer, "error")
     except BadAnswer:
         return ErrorAnswer(0, data[:200].decode("utf-8", "replace"))
     return error
--- a/peattrestle/registry/follower.py
+++ b/peattrestle/registry/follower.py
@@ -1,7 +1,8 @@
 """Decides how to follow all keys with a prefix: one full read, then a watch from the next revision on.
 
-This module decides what may be lost or repeated when connections break. `contents` is the registry's content
-at `revision`: every revision is applied once and in order. The states:
+`contents` is the registry's content at `revision`. When a connection breaks, the watch resumes after
+`revision`, so that every revision is applied once and in order. Where that is not possible, a full read
+finds what differs from `contents`. The states:
 
 | state | meaning | ends with |
 | --- | --- | --- |
@@ -87,7 +88,12 @@
 
 @dataclass(slots=True)
 class Counts:
-    """Counters of a follower. `doubled`: events received twice. `overtaken`: events received out of order."""
+    """Counters of a follower.
+
+    `applied`: changes applied. `doubled`: events received twice. `overtaken`: events received out of order.
+    `reads`, `watches`: requests sent. `breaks`: lost connections, illegal answers, errors and timeouts.
+    `compacted`: watches given up for a full read, for compaction or because they can't be continued.
+    """
 
     applied: int = 0
     doubled: int = 0
@@ -130,24 +136,24 @@
         self.counts.watches += 1
         return [RequestWatch(self.revision + 1)]
 
-    def on_connection_lost(self, chance: float) -> list[Action]:
+    def on_connection_lost(self, jitter: float) -> list[Action]:
         """Handles a lost connection, an illegal answer or a timeout.
 
-        `chance`: a random number from 0 to 1 that spreads the retry delay.
+        `jitter`: a random number from 0 to 1 that spreads the retry delay.
         """
         self.counts.breaks += 1
         self.state = AWAY
         self._fragments.clear()
-        length = round(self._retry_delay * (1 + chance) / 2)
+        length = round(self._retry_delay * (1 + jitter) / 2)
         self._retry_delay = min(2 * self._retry_delay, self.max_retry_delay)
         return [Wait(length)]
 
-    def on_error(self, error: ErrorAnswer, chance: float) -> list[Action]:
+    def on_error(self, error: ErrorAnswer, jitter: float) -> list[Action]:
         """Handles an error answer. A compacted watch is followed by a full read at once; after any other
         error the follower waits as in `on_connection_lost`."""
         if error.compacted and self.state == WATCHING:
             return self._restart_with_read()
-        return self.on_connection_lost(chance)
+        return self.on_connection_lost(jitter)
 
     def _restart_with_read(self) -> list[Action]:
         self.counts.compacted += 1
@@ -163,14 +169,14 @@
             raise BadAnswer("range: an answer to a read that was not requested")
         if answer.more:
             raise BadAnswer("range: the answer is incomplete, there are more keys")
-        replaced_reason = self._difference(answer.header.cluster_id, answer.header.revision)
+        replaced_reason = self._replacement_reason(answer.header.cluster_id, answer.header.revision)
         if replaced_reason:
             self._recent_events.clear()  # revision numbers of another history
         present = {pair.key: pair for pair in answer.kvs}
         changes = [Change(key, None, answer.header.revision) for key in self.contents if key not in present]
         for key, pair in present.items():
-            before = self.contents.get(key)
-            if before is None or (before.value, before.created) != (pair.value, pair.create_revision):
+            held = self.contents.get(key)
+            if held is None or (held.value, held.created) != (pair.value, pair.create_revision):
                 changes.append(Change(key, pair.value, pair.mod_revision, pair.create_revision))
             self.contents[key] = HeldValue(pair.value, pair.mod_revision, pair.create_revision)
         for change in changes:
@@ -182,7 +188,7 @@
         self._needs_read, self._retry_delay = False, self.min_retry_delay
         return [Apply(tuple(changes), self.revision, True, replaced_reason), *self.start_request()]
 
-    def _difference(self, cluster: int, revision: int) -> str:
+    def _replacement_reason(self, cluster: int, revision: int) -> str:
         """How an answer shows another registry or an older copy of it; empty if it does not."""
         if self.cluster and cluster != self.cluster:
             return f"cluster {cluster} in place of {self.cluster}"
@@ -190,13 +196,13 @@
             return f"revision {revision} after {self.revision}"
         return ""
 
-    def on_watch_message(self, response: WatchResponse, chance: float) -> list[Action]:
+    def on_watch_message(self, response: WatchResponse, jitter: float) -> list[Action]:
         """Handles one message of the watch. Raises `BadAnswer` if it was not requested or is too long."""
         if self.state != WATCHING:
             raise BadAnswer("watch: a message of a watch that was not requested")
         if response.canceled:
-            return self._restart_with_read() if response.compact_revision else self.on_connection_lost(chance)
-        if self._difference(response.header.cluster_id, response.header.revision):
+            return self._restart_with_read() if response.compact_revision else self.on_connection_lost(jitter)
+        if self._replacement_reason(response.header.cluster_id, response.header.revision):
             # Another registry or an older copy answers: its changes don't follow on the content held.
             return self._restart_with_read()
         if response.created:
@@ -212,11 +218,11 @@
             self.revision = max(self.revision, response.header.revision)
             return [ConfirmUnchanged(self.revision)]
         changes: list[Change] = []
-        before = self.revision
-        self.revision = max(before, events[-1].kv.mod_revision)
+        previous_revision = self.revision
+        self.revision = max(previous_revision, events[-1].kv.mod_revision)
         for event in events:
             pair = event.kv
-            if pair.mod_revision <= before:
+            if pair.mod_revision <= previous_revision:
                 if (pair.key, pair.mod_revision) not in self._recent_events:
                     # It arrived out of order. Other events may be missing too, so everything is read again.
                     self.counts.overtaken += 1
--- a/tests/registry/test_follower.py
+++ b/tests/registry/test_follower.py
@@ -155,7 +155,8 @@
         if self.random.random() < 0.05:
             self.registry.compact()
 
-    def settle(self) -> None:
+    def deliver_pending(self) -> None:
+        """Takes enough steps for the follower to catch up, faults included."""
         for _ in range(200):
             self.step()
 
@@ -168,7 +169,7 @@
             connection.change_registry()
             if connection.random.random() < 0.6:
                 connection.step()
-        connection.settle()
+        connection.deliver_pending()
         expected = {key: pair.value for key, pair in connection.registry.keys.items()}
         assert connection.applied.keys == expected
     assert connection.applied.order == sorted(connection.applied.order)
@@ -214,7 +215,7 @@
     assert follower.on_watch_message(WatchResponse(other.header(), created=True), 0.5) == [RequestRead()]
     apply = follower.on_read(other.range())[0]
     assert isinstance(apply, Apply) and apply.replaced_reason == replaced_reason
-    assert [(each.key, each.value) for each in apply.changes] == [
+    assert [(applied.key, applied.value) for applied in apply.changes] == [
         (f"/x/{number}".encode(), None) for number in range(3)
     ]
 
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -32,7 +32,7 @@
         self.update_count = 0
         self.counts: dict[str, int] = {}
         self.logs: list[tuple[str, dict[str, Any]]] = []
-        self.source = Registry(
+        self.client = Registry(
             kernel,
             (self.registry.address,),
             "/hubs/",
@@ -46,7 +46,7 @@
             min_retry_wait=50 * MS,
             max_retry_wait=400 * MS,
         )
-        kernel.spawn(self.source.run(), "source")
+        kernel.spawn(self.client.run(), "client")
 
     def update(self, whole: bool, update: MembershipUpdate) -> None:
         self.update_count += 1
@@ -94,7 +94,8 @@
 
 
 FAULTS = [
-    "leave", "compact", "doubled", "cut", "mute", "late", "error", "stuck", "reset", "progress", "none",
+    "down", "compact", "duplicate events", "cut", "mute", "late replies", "error",
+    "held events", "reset", "progress", "none",
 ]  # fmt: skip
 
 
@@ -109,9 +110,9 @@
             followed.put(name, number=number)
         for _ in range(25):
             fault = rng.choice(FAULTS)
-            if fault == "leave":
+            if fault == "down":
                 registry.go_down()
-            elif fault == "doubled":
+            elif fault == "duplicate events":
                 faults.duplicate_events = True
             elif fault == "cut":
                 faults.reset_after_bytes = rng.randrange(400)
@@ -119,11 +120,11 @@
                 faults.mute = True
                 for stream in list(registry.streams):
                     stream.abort()
-            elif fault == "late":
+            elif fault == "late replies":
                 faults.reply_delay = 300 * MS
             elif fault == "error":
                 faults.error = 503
-            elif fault == "stuck":
+            elif fault == "held events":
                 faults.hold_events = True
             elif fault == "reset":
                 for stream in list(registry.streams):
@@ -156,7 +157,7 @@
         followed.kernel.stop()
 
     followed = run_virtual(body, seed)
-    counts = followed.source.follower.counts
+    counts = followed.client.follower.counts
     assert counts.breaks > 0 and counts.watches > 3
 
 
@@ -171,7 +172,7 @@
         followed.registry.faults.hold_events = False
         yield from followed.kernel.sleep(2 * SECOND)
         assert followed.list["x1"] == "draining"
-        assert followed.source.follower.counts.reads == 1
+        assert followed.client.follower.counts.reads == 1
         followed.kernel.stop()
 
     run_virtual(body)
