--- a/peattrestle/settings/agent.py
+++ b/peattrestle/settings/agent.py
@@ -15,7 +15,7 @@
 class Bearer:
     """A bearer type: its grade-of-service (GoS) target, revenue and call handling."""
 
-    label: str = schema.name("", "the bearer type's name, as in ptc/brt")
+    label: str = schema.name("", "the bearer type's name, as callers give it in the property ptc/brt")
     gos_target: int = schema.duration("1500ms", "1ms", "10min", "target time to set up a call")
     abandon_time: int = schema.duration("9s", "1ms", "1h", "callers give up this long after their first try")
     revenue: float = schema.number(1.0, 0, 1e9, "revenue of a call that is set up within the GoS target")
@@ -110,7 +110,7 @@
         "after a start each link waits a random time up to this, unless a call needs it, so that agents that "
         "start together don't restart all links of an exchange at once",
     )
-    retry_most: int = schema.duration("5s", "10ms", "10min", "longest such wait")
+    retry_most: int = schema.duration("5s", "10ms", "10min", "longest delay before reconnecting a link")
     keepalive: int = schema.duration(
         "2s", "50ms", "10min", "an idle link is audited after this; two unanswered audits close it"
     )
@@ -140,7 +140,7 @@
         "1min",
         "first retry delay after a failure; doubles each time and is drawn from half of it to all of it",
     )
-    retry_most: int = schema.duration("5s", "10ms", "10min", "longest such wait")
+    retry_most: int = schema.duration("5s", "10ms", "10min", "longest retry delay")
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/peattrestle/settings/schema.py
+++ b/peattrestle/settings/schema.py
@@ -55,10 +55,10 @@
     min_count: int = 0
 
 
-def _setting(kind: SettingType, default: Any) -> Any:
+def _setting(setting_type: SettingType, default: Any) -> Any:
     if default is REQUIRED:
-        return field(metadata={"kind": kind})
-    return field(default=default, metadata={"kind": kind})
+        return field(metadata={"kind": setting_type})
+    return field(default=default, metadata={"kind": setting_type})
 
 
 def parse_duration(text: str) -> int:
@@ -145,10 +145,10 @@
 
 def is_address(value: Any) -> bool:
     """Whether `value` is a loopback address as host:port."""
-    return _address(value) is not None
+    return _parse_address(value) is not None
 
 
-def _address(value: Any) -> str | None:
+def _parse_address(value: Any) -> str | None:
     match = (
         re.fullmatch(r"127\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})", value)
         if isinstance(value, str)
@@ -159,26 +159,30 @@
     return str(value)
 
 
-def _convert(kind: SettingType, value: Any) -> tuple[Any, str]:
+def _convert(setting_type: SettingType, value: Any) -> tuple[Any, str]:
     """Returns the converted value and an empty text, or None and what is allowed."""
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
-    match kind.kind:
+    match setting_type.kind:
         case "duration":
-            minimum, maximum = format_duration(kind.minimum), format_duration(kind.maximum)
+            minimum, maximum = format_duration(setting_type.minimum), format_duration(setting_type.maximum)
             expected = f'must be a duration in quotes, like "300ms", from {minimum} to {maximum}'
             try:
                 nanoseconds = parse_duration(value) if isinstance(value, str) else -1
             except ValueError:
                 return None, expected
-            return (nanoseconds, "") if kind.minimum <= nanoseconds <= kind.maximum else (None, expected)
+            return (
+                (nanoseconds, "")
+                if setting_type.minimum <= nanoseconds <= setting_type.maximum
+                else (None, expected)
+            )
         case "whole" | "number":
             expected = (
-                f"must be a {'whole ' * (kind.kind == 'whole')}number "
-                f"from {kind.minimum:g} to {kind.maximum:g}"
+                f"must be a {'whole ' * (setting_type.kind == 'whole')}number "
+                f"from {setting_type.minimum:g} to {setting_type.maximum:g}"
             )
-            if not is_number or kind.kind == "whole" and not isinstance(value, int):
+            if not is_number or setting_type.kind == "whole" and not isinstance(value, int):
                 return None, expected
-            return (value, "") if kind.minimum <= value <= kind.maximum else (None, expected)
+            return (value, "") if setting_type.minimum <= value <= setting_type.maximum else (None, expected)
         case "flag":
             return (value, "") if isinstance(value, bool) else (None, "must be true or false")
         case "text":
@@ -188,27 +192,32 @@
             is_valid = isinstance(value, str) and _NAME.fullmatch(value) is not None
             return (value, "") if is_valid else (None, "must be a name of letters, digits, '.', '_' and '-'")
         case "address":
-            is_valid = value in kind.choices or is_address(value)
+            is_valid = value in setting_type.choices or is_address(value)
             return (value, "") if is_valid else (None, 'must be a loopback address, like "127.0.0.1:2944"')
         case "choice":
-            expected = "must be one of " + ", ".join(f'"{option}"' for option in kind.choices)
-            return (value, "") if value in kind.choices else (None, expected)
+            expected = "must be one of " + ", ".join(f'"{option}"' for option in setting_type.choices)
+            return (value, "") if value in setting_type.choices else (None, expected)
         case "wholes":
             is_valid = isinstance(value, list) and all(
-                isinstance(item, int) and not isinstance(item, bool) and kind.minimum <= item <= kind.maximum
+                isinstance(item, int)
+                and not isinstance(item, bool)
+                and setting_type.minimum <= item <= setting_type.maximum
                 for item in value
             )
-            expected = f"must be a list of whole numbers from {kind.minimum:g} to {kind.maximum:g}"
+            expected = (
+                f"must be a list of whole numbers from {setting_type.minimum:g} to {setting_type.maximum:g}"
+            )
             return (tuple(value), "") if is_valid else (None, expected)
         case "texts":
             is_valid = isinstance(value, list) and all(
-                isinstance(item, str) and (not kind.choices or item in kind.choices) for item in value
+                isinstance(item, str) and (not setting_type.choices or item in setting_type.choices)
+                for item in value
             )
             expected = "must be a list of texts" + (
-                f" out of {', '.join(kind.choices)}" if kind.choices else ""
+                f" out of {', '.join(setting_type.choices)}" if setting_type.choices else ""
             )
             return (tuple(value), "") if is_valid else (None, expected)
-    raise AssertionError(kind.kind)
+    raise AssertionError(f"unknown type of setting: {setting_type.kind!r}")
 
 
 def _suggestion(word: str, known: list[str]) -> str:
@@ -216,16 +225,16 @@
     return f"; the nearest known name is '{matches[0]}'" if matches else ""
 
 
-def check(cls: type[C], read: Block, file: str) -> tuple[C | None, list[Fault]]:
-    """Returns the block as an instance of `cls`, or None and all faults. `file` is named in the faults."""
+def check(cls: type[C], parsed: Block, file: str) -> tuple[C | None, list[Fault]]:
+    """Returns the parsed block as an instance of `cls`, or None and all faults. The faults name `file`."""
     faults: list[Fault] = []
     fields = {setting.name: setting for setting in dataclasses.fields(cls)}  # type: ignore[arg-type]
     settings = {key: setting for key, setting in fields.items() if "kind" in setting.metadata}
     inner = {key: setting for key, setting in fields.items() if "inner" in setting.metadata}
     values: dict[str, Any] = {}
     seen: dict[str, Attribute] = {}
-    where = f"{read.name} " if read.name else ""
-    for attribute in read.attributes:
+    where = f"{parsed.name} " if parsed.name else ""
+    for attribute in parsed.attributes:
         if attribute.name not in settings:
             known = [*settings, *inner]
             hint = (
@@ -254,19 +263,19 @@
             seen[attribute.name] = attribute
     for key, declared in settings.items():
         if key not in seen and declared.default is REQUIRED and key != "label":
-            kind: SettingType = declared.metadata["kind"]
-            faults.append(Fault(file, read.line, f"{where}needs '{key}': {kind.description}"))
+            setting_type: SettingType = declared.metadata["kind"]
+            faults.append(Fault(file, parsed.line, f"{where}needs '{key}': {setting_type.description}"))
     if "label" in fields:
         is_text = fields["label"].metadata["kind"].kind == "text"
-        if len(read.labels) == 1 and (is_text or _NAME.fullmatch(read.labels[0])):
-            values["label"] = read.labels[0]
+        if len(parsed.labels) == 1 and (is_text or _NAME.fullmatch(parsed.labels[0])):
+            values["label"] = parsed.labels[0]
         else:
-            faults.append(Fault(file, read.line, f"{where}needs one name in quotes after it"))
-    elif read.labels:
-        faults.append(Fault(file, read.line, f"{where}takes no name after it"))
+            faults.append(Fault(file, parsed.line, f"{where}needs one name in quotes after it"))
+    elif parsed.labels:
+        faults.append(Fault(file, parsed.line, f"{where}takes no name after it"))
     repeated: dict[str, list[Any]] = {}
     labels: set[tuple[str, str]] = set()
-    for child in read.blocks:
+    for child in parsed.blocks:
         declared_block = inner.get(child.name)
         if declared_block is None:
             hint = (
@@ -301,10 +310,10 @@
             values[key] = tuple(repeated.get(key, ()))
             if len(values[key]) < inner_block.min_count:
                 faults.append(
-                    Fault(file, read.line, f"{where}needs a block '{key}': {inner_block.description}")
+                    Fault(file, parsed.line, f"{where}needs a block '{key}': {inner_block.description}")
                 )
         elif key not in values:
-            values[key], inner_faults = check(inner_block.cls, Block(key, (), read.line), file)
+            values[key], inner_faults = check(inner_block.cls, Block(key, (), parsed.line), file)
             faults += inner_faults
     if faults:
         return None, faults
@@ -324,10 +333,10 @@
                 for inner in (current if setting.metadata["inner"].is_repeated else (current,))
             ]
         elif setting.name != "label":
-            kind: SettingType = setting.metadata["kind"]
-            if kind.kind == "duration":
+            setting_type: SettingType = setting.metadata["kind"]
+            if setting_type.kind == "duration":
                 shown = f'"{format_duration(current)}"'
-            elif kind.kind in ("wholes", "texts"):
+            elif setting_type.kind in ("wholes", "texts"):
                 shown = (
                     "["
                     + ", ".join(str(item) if isinstance(item, int) else f'"{item}"' for item in current)
