--- a/peattrestle/wirehost/host.py
+++ b/peattrestle/wirehost/host.py
@@ -45,7 +45,9 @@
 class Host:
     """Runs the controllers of all agents over one input and one output.
 
-    The events of a batch are passed to each controller as one list, in the order of arrival.
+    The events of a batch are passed to each controller as one list, in the order of arrival. `instances` and
+    `pending`, the events of the current batch, are kept by the agent's number, `lists` by SetId. `now` is in
+    nanoseconds.
     """
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
@@ -141,10 +143,10 @@
         print(f"wirehost: line {host.line_number}: {error}", file=sys.stderr)
         return 2
     except Exception as error:  # an error of a controller is reported to the simulator
-        frame = error.__traceback__
-        while frame is not None and frame.tb_next is not None:
-            frame = frame.tb_next
-        where = f" at line {frame.tb_lineno}" if frame else ""
+        innermost = error.__traceback__
+        while innermost is not None and innermost.tb_next is not None:
+            innermost = innermost.tb_next
+        where = f" at line {innermost.tb_lineno}" if innermost else ""
         agents = [*host.pending, *host.instances, 0]
         sys.stdout.write(f"die Agent={agents[0]} BodyText={type(error).__name__}: {error}{where}\nack\n")
         sys.stdout.flush()
--- a/peattrestle/wirehost/parse.py
+++ b/peattrestle/wirehost/parse.py
@@ -59,7 +59,7 @@
         return self.integer(name) != 0
 
 
-def _setting(name: str, value: Any) -> Any:
+def _convert_setting(name: str, value: Any) -> Any:
     if name.endswith("Us") and isinstance(value, (int, float)):
         return round(value * US)
     return protocol_names.VALUES.get(value, value) if isinstance(value, str) else value
@@ -86,7 +86,7 @@
         return node
 
     flat = {
-        own_name: _setting(path, value)
+        own_name: _convert_setting(path, value)
         for path, own_name in protocol_names.SETTINGS.items()
         if (value := value_at(path)) is not None
     }
@@ -95,7 +95,7 @@
     for index, bearer_type in enumerate(classes):
         for protocol_name, own_name in protocol_names.BEARER.items():
             if protocol_name in bearer_type:
-                flat[f"{own_name}:{bearer_type['Name']}"] = _setting(
+                flat[f"{own_name}:{bearer_type['Name']}"] = _convert_setting(
                     protocol_name, bearer_type[protocol_name]
                 )
         for path, own_name in protocol_names.BEARER_LISTS.items():
@@ -103,7 +103,7 @@
             if index < len(row):
                 value = row[index]
                 flat[f"{own_name}:{bearer_type['Name']}"] = (
-                    tuple(value) if isinstance(value, list) else _setting(path, value)
+                    tuple(value) if isinstance(value, list) else _convert_setting(path, value)
                 )
     for customer in value_at("Projects") or []:
         for protocol_name, own_name in protocol_names.CUSTOMER.items():
@@ -168,6 +168,8 @@
             line.required("Id"), line.text("Exchange"), line.integer("RttUs") * US, line.integer("Leg")
         )
     if line.kind == "verdict":
+        # The low four bits are the cause. The rest is a flag for turned_back, and for processor_full the time
+        # to wait in milliseconds.
         code = line.integer("ClearCode")
         cause, wait = protocol_names.CAUSES.get(code % 16, ""), 0
         if cause == "turned_back" and code >= 16:
