--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -17,8 +17,9 @@
 def request_call(address: str, request: package.SetUpRequest, hold: int) -> dict[str, Any]:
     """Requests a call from the agent at `address`, and releases an established one after `hold` nanoseconds.
 
-    Returns the fields of the result; `answer` is 'stands' (established), 'refused', 'failed', 'error',
-    'no answer' or 'no connection'.
+    Returns the fields of the result. `answer`: 'stands' (established), 'refused', 'failed', 'error',
+    'no answer' or 'no connection'. `text`: the reason, if there is one. `come_back_ms`: milliseconds until a
+    retry is allowed. `ms`: milliseconds from the request to the answer.
     """
     kernel = EpollKernel()
     answer: dict[str, Any] = {"answer": "no connection", "text": "", "come_back_ms": 0, "ms": 0}
--- a/peattrestle/cli/main.py
+++ b/peattrestle/cli/main.py
@@ -155,10 +155,10 @@
     def print_progress(text: str) -> None:
         click.echo(f"peattrestle: {text}", err=True)
 
-    def interrupted(*_: object) -> NoReturn:
+    def on_sigterm(*_: object) -> NoReturn:
         raise KeyboardInterrupt
 
-    signal.signal(signal.SIGTERM, interrupted)
+    signal.signal(signal.SIGTERM, on_sigterm)
     try:
         with tempfile.TemporaryDirectory(prefix="peattrestle-") as folder:
             result = play.play(loaded, kernel or loaded.kernel, Path(folder), report_progress=print_progress)
@@ -202,11 +202,11 @@
 )
 def night(seed: int, report: str | None) -> None:
     """Repeats the night drawn from SEED, and prints its full report."""
-    from peattrestle.rehearsal import nights as drawn
+    from peattrestle.rehearsal import nights as random_nights
     from peattrestle.rehearsal import play
     from peattrestle.rehearsal import report as reports
 
-    result = play.play(drawn.random_script(seed), "virtual")
+    result = play.play(random_nights.random_script(seed), "virtual")
     if report:
         reports.write(result, Path(report))
     click.echo(reports.table(result))
