--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -75,6 +75,7 @@
         self.mask = mask
 
     def close(self) -> None:
+        """Removes the descriptor from the epoll set and closes it."""
         if self.fd >= 0:
             self.set_mask(0)
             self.fd = -1
@@ -122,7 +123,7 @@
                 self._handle_socket_error(error)
                 raise ConnectionLost(self._lost_reason) from None
             if self._reader is not None:
-                raise RuntimeError("two coroutines read one stream")
+                raise RuntimeError(f"{self.peer}: two coroutines read one stream")
             waiter = self._reader = Waiter(self.kernel)
             self._update_mask()
             try:
@@ -210,10 +211,10 @@
     """A listening TCP socket.
 
     When the process has no file descriptors left, a spare one is released for a moment to accept and close
-    the waiting connection, so that its peer notices at once. Accepting goes on after `PAUSE`.
+    the waiting connection, so that its peer notices at once. Accepting goes on after `ACCEPT_RETRY_DELAY`.
     """
 
-    PAUSE = 50 * MS  # nanoseconds
+    ACCEPT_RETRY_DELAY = 50 * MS  # nanoseconds
 
     def __init__(self, kernel: EpollKernel, sock: socket.socket) -> None:
         self.kernel = kernel
@@ -246,8 +247,8 @@
                     self.handle.set_mask(0)
             except OSError as error:
                 if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                    self._shed_one()
-                    yield from self.kernel.sleep(self.PAUSE)
+                    self._shed_connection()
+                    yield from self.kernel.sleep(self.ACCEPT_RETRY_DELAY)
                 elif error.errno not in (errno.ECONNABORTED, errno.EPROTO, errno.EINTR):
                     raise ConnectionLost(str(error)) from None
             else:
@@ -264,7 +265,7 @@
         self.close()
         return accepted
 
-    def _shed_one(self) -> None:
+    def _shed_connection(self) -> None:
         if self._spare_descriptor >= 0:
             os.close(self._spare_descriptor)
             self._spare_descriptor = -1
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -15,7 +15,7 @@
 
 T = TypeVar("T")
 MS = 1_000_000  # nanoseconds
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # nanoseconds
 
 
 class Cancelled(BaseException):
@@ -184,12 +184,14 @@
         self._waiters: list[Waiter] = []
 
     def set(self) -> None:
+        """Sets the flag and wakes all waiting tasks."""
         self.is_set = True
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             waiter.set()
 
     def wait(self) -> Coroutine[None]:
+        """Waits until the flag is set."""
         if not self.is_set:
             waiter = Waiter(self.kernel)
             self._waiters.append(waiter)
@@ -366,7 +368,10 @@
             self.on_crash(task.name, error)
 
     def call_at(self, at: int, action: Callable[[], None]) -> Timer:
-        """Calls `action` in the first turn at or after `call_at`; equal times in the order of scheduling."""
+        """Calls `action` in the first turn at or after the time `at`.
+
+        Callbacks for the same time are called in the order of scheduling.
+        """
         timer = Timer(self, at, action)
         self._timer_sequence += 1
         heapq.heappush(self._heap, (at, self._timer_sequence, timer))
@@ -393,10 +398,11 @@
         finally:
             timer.cancel()
 
-    def with_timeout(self, length: int, body: Coroutine[T], name: str = "within") -> Coroutine[T]:
+    def with_timeout(self, length: int, body: Coroutine[T], name: str = "timed out") -> Coroutine[T]:
         """Runs a coroutine for at most `length` nanoseconds and returns its result.
 
-        Raises `TimedOut` once the time has passed and the cancelled coroutine has ended.
+        Raises `TimedOut` once the time has passed and the cancelled coroutine has ended. `name`: the name of
+        the task and the text of the error.
         """
         task = self.spawn(body, name, report_errors=False)
         timer = self.call_at(self.now() + length, task.cancel)
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -162,7 +162,7 @@
             if self._at_end:
                 return b""
             if self._reader is not None:
-                raise RuntimeError("two coroutines read one stream")
+                raise RuntimeError(f"{self.peer}: two coroutines read one stream")
             waiter = self._reader = Waiter(self.kernel)
             try:
                 yield waiter
