--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -89,11 +89,11 @@
         self.kernel, self.peer = kernel, peer
         self.handle = Handle(kernel, sock, self._on_event)
         self.unsent = 0
-        self._out: list[bytes] = []
+        self._send_buffer: list[bytes] = []
         self._reader: Waiter | None = None
         self._drainers: list[tuple[int, Waiter]] = []
         self._lost_reason: str = ""
-        self._finishing = False
+        self._write_closed = False
 
     def _on_event(self, mask: int) -> None:
         if mask & (READABLE | HUNG_UP) and self._reader is not None:
@@ -101,14 +101,16 @@
             reader.set()
         if mask & (WRITABLE | HUNG_UP):
             self._flush()
-        if mask & HUNG_UP and self._reader is None and not self._out:
+        if mask & HUNG_UP and self._reader is None and not self._send_buffer:
             # Nobody waits for this socket: level-triggered epoll would report the hang-up in every turn.
             self.handle.set_mask(0)
         else:
             self._update_mask()
 
     def _update_mask(self) -> None:
-        self.handle.set_mask((READABLE if self._reader is not None else 0) | (WRITABLE if self._out else 0))
+        self.handle.set_mask(
+            (READABLE if self._reader is not None else 0) | (WRITABLE if self._send_buffer else 0)
+        )
 
     def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         while True:
@@ -134,27 +136,27 @@
                     self._update_mask()
 
     def write(self, data: bytes) -> None:
-        if self.handle.fd < 0 or self._finishing or not data:
+        if self.handle.fd < 0 or self._write_closed or not data:
             return
-        self._out.append(data)
+        self._send_buffer.append(data)
         self.unsent += len(data)
-        if len(self._out) == 1:
+        if len(self._send_buffer) == 1:
             self.kernel.at_turn_end(self._flush)  # sends all writes of one turn in one system call
 
     def _flush(self) -> None:
-        while self._out and self.handle.fd >= 0:
-            data = self._out[0] if len(self._out) == 1 else b"".join(self._out)
+        while self._send_buffer and self.handle.fd >= 0:
+            data = self._send_buffer[0] if len(self._send_buffer) == 1 else b"".join(self._send_buffer)
             try:
                 sent = self.handle.sock.send(data)
             except BlockingIOError:
-                self._out = [data]
+                self._send_buffer = [data]
                 break
             except OSError as error:
                 self._handle_socket_error(error)
                 return
             self.unsent -= sent
-            self._out = [data[sent:]] if sent < len(data) else []
-        if not self._out and self._finishing and self.handle.fd >= 0:
+            self._send_buffer = [data[sent:]] if sent < len(data) else []
+        if not self._send_buffer and self._write_closed and self.handle.fd >= 0:
             with contextlib.suppress(OSError):
                 self.handle.sock.shutdown(socket.SHUT_WR)
         remaining = []
@@ -175,7 +177,7 @@
             raise ConnectionLost(self._lost_reason)
 
     def close_write(self) -> None:
-        self._finishing = True
+        self._write_closed = True
         self.kernel.at_turn_end(self._flush)
 
     def _handle_socket_error(self, error: OSError) -> None:
@@ -184,7 +186,7 @@
 
     def _shut(self) -> None:
         self.handle.close()
-        self._out, self.unsent = [], 0
+        self._send_buffer, self.unsent = [], 0
         error = ConnectionLost(self._lost_reason or "closed locally")
         if self._reader is not None:
             self._reader.fail(error)
@@ -195,7 +197,7 @@
 
     def close(self) -> None:
         if self.handle.fd >= 0:
-            if self._out:
+            if self._send_buffer:
                 self._flush()
             self._shut()
 
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -51,35 +51,35 @@
         self.other: VirtualStream = self
         self.delay = kernel.rng.randint(kernel.network.min_delay, kernel.network.max_delay)
         self.unsent = 0
-        self._out: deque[memoryview] = deque()  # not yet sent: the peer's window is full
+        self._send_buffer: deque[memoryview] = deque()  # not yet sent: the peer's window is full
         self._in_flight = 0
         self._received: deque[bytes] = deque()
         self._unread = 0
         self._at_end = False  # the peer has closed its side, and all its bytes have been received
         self._reader: Waiter | None = None
         self._drainers: list[tuple[int, Waiter]] = []
-        self._finished = self._closed = False
+        self._write_closed = self._closed = False
         self._lost_reason = ""
         self._last_arrival = 0
 
     # Writing side.
 
     def write(self, data: bytes) -> None:
-        if self._closed or self._finished or not data:
+        if self._closed or self._write_closed or not data:
             return
-        self._out.append(memoryview(data))
+        self._send_buffer.append(memoryview(data))
         self.unsent += len(data)
         self._transmit()
 
     def _transmit(self) -> None:
         network = self.kernel.network
-        while self._out:
+        while self._send_buffer:
             free = network.window - self.other._unread - self._in_flight
-            if free < min(len(self._out[0]), network.window // 2):
+            if free < min(len(self._send_buffer[0]), network.window // 2):
                 break  # avoids tiny segments: the window opens by half or not at all
-            data = self._out.popleft()
+            data = self._send_buffer.popleft()
             if len(data) > free:
-                self._out.appendleft(data[free:])
+                self._send_buffer.appendleft(data[free:])
                 data = data[:free]
             self.unsent -= len(data)
             segments = [bytes(data)]
@@ -129,12 +129,12 @@
             raise ConnectionLost(self._lost_reason)
 
     def close_write(self) -> None:
-        if not self._finished and not self._closed:
-            self._finished = True
+        if not self._write_closed and not self._closed:
+            self._write_closed = True
             self._schedule(self._end_of_stream)
 
     def _end_of_stream(self) -> None:
-        if self._out or self._in_flight:
+        if self._send_buffer or self._in_flight:
             self._schedule(self._end_of_stream)
             return
         self.other._at_end = True
@@ -176,7 +176,7 @@
         if self._closed:
             return
         self._closed, self._lost_reason = True, reason
-        self._out.clear()
+        self._send_buffer.clear()
         self.unsent = 0
         error = ConnectionLost(reason)
         if self._reader is not None:
@@ -191,8 +191,8 @@
 
     def close(self) -> None:
         if not self._closed:
-            while self._out:
-                segment = bytes(self._out.popleft())
+            while self._send_buffer:
+                segment = bytes(self._send_buffer.popleft())
                 self._in_flight += len(segment)
                 self._schedule(partial(self._deliver, segment))
             self.close_write()
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -86,7 +86,7 @@
     assert seen == ["turn", "first", "a", "b", "c"]
 
 
-def test_fifty_thousand_timers_and_most_of_them_cancelled(kernel: Kernel) -> None:
+def test_cancelled_timers_leave_the_heap_and_the_others_fire(kernel: Kernel) -> None:
     fired: list[int] = []
 
     def body() -> Coroutine[None]:
@@ -109,7 +109,7 @@
 def test_cancellation_at_every_kind_of_yield(kernel: Kernel, where: str) -> None:
     seen: list[str] = []
 
-    def waits() -> Coroutine[None]:
+    def wait_until_cancelled() -> Coroutine[None]:
         here, there, listener = yield from connected_pair(kernel)
         queue: Queue[int] = Queue(kernel, 1)
         sleeper = kernel.spawn(kernel.sleep(5000 * MS), "sleeper")
@@ -128,7 +128,7 @@
             queue.offer(1)
         try:
             yield from bodies[where]()
-            seen.append("went on")
+            seen.append("not cancelled")
         except Cancelled:
             seen.append("cancelled")
             raise
@@ -136,7 +136,7 @@
             there.abort()
 
     def body() -> Coroutine[None]:
-        task = kernel.spawn(waits(), "waits")
+        task = kernel.spawn(wait_until_cancelled(), "wait_until_cancelled")
         yield from kernel.sleep(50 * MS)
         task.cancel()
         task.cancel()
@@ -247,7 +247,7 @@
 
 
 @pytest.mark.parametrize("who", ["nobody", "gone"])
-def test_connecting_to_a_closed_port(kernel: Kernel, who: str) -> None:
+def test_a_closed_port_refuses_connect_and_ends_accept(kernel: Kernel, who: str) -> None:
     def body() -> Coroutine[None]:
         listener = kernel.listen("127.0.0.1:0")
         address = listener.address
