--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -195,7 +195,7 @@
     run_virtual(body)
 
 
-def test_real_sockets() -> None:
+def test_the_client_follows_the_registry_over_real_sockets() -> None:
     kernel = EpollKernel(1)
     followed = FollowedRegistry(kernel)
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -90,26 +90,26 @@
     ]
 
 
-def test_all_faults_at_once() -> None:
+def test_all_faults_are_reported_at_once() -> None:
     text = GOOD.replace("number  = 3", "number = -1").replace('"250ms"', "true").replace("1.5s", "x")
     _, faults = parse(text, "x.hcl")
     assert [fault.line for fault in faults] == [3, 7, 8]
 
 
 @pytest.mark.parametrize("text", ["", "# nothing\n", 'other "x" { }', "agent = 3"])
-def test_a_file_without_an_agent(text: str) -> None:
+def test_a_file_without_an_agent_is_rejected(text: str) -> None:
     agent, faults = parse(text, "x.hcl")
     assert agent is None and faults
 
 
-def test_a_missing_file() -> None:
+def test_a_missing_file_is_reported() -> None:
     assert load_script("/nowhere/x.hcl")[1][0].text.startswith("can't be read")
 
 
 @pytest.mark.parametrize(
     ("text", "nanoseconds"), [("1ns", 1), ("1.5s", 1_500_000_000), ("2 min", 120_000_000_000), ("0ms", 0)]
 )
-def test_durations(text: str, nanoseconds: int) -> None:
+def test_durations_are_parsed_and_formatted(text: str, nanoseconds: int) -> None:
     assert schema.parse_duration(text) == nanoseconds
     assert schema.parse_duration(schema.format_duration(nanoseconds)) == nanoseconds
 
