--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -7,7 +7,7 @@
 
 A call takes the direct trunk group while that has free circuits, else one of at most two tandems by rising
 route score; some circuits of the group to a tandem stay reserved for direct calls (docs/design.md). Beside
-this ordinary routing there are at most six overload controls:
+this ordinary routing there are six overload controls:
 
 1. cold budget: an exchange that has just started gets no more set-ups than this agent's share of the rate
    that would overload it;
@@ -23,7 +23,7 @@
 
 Each exchange, the own one included, is an actor with an inbox; `CallRouter` holds the calls. To set a call
 up, `CallRouter` asks the own exchange, the destination and a tandem in turn for admission; each admits the
-call or refuses it.
+call or refuses it. Rule numbers in comments are those of `peattrestle/calls/guard.py`.
 """
 
 from __future__ import annotations
@@ -107,6 +107,7 @@
         self.inbox: deque[Message] = deque()
 
     def receive(self, message: Message) -> None:
+        """Handles one message from the inbox."""
         raise NotImplementedError
 
 
@@ -125,6 +126,7 @@
         self._next_log_at = 0
 
     def post(self, actor: Actor, message: Message) -> None:
+        """Puts a message into the inbox of `actor`."""
         actor.inbox.append(message)
         self._pending.append(actor)
 
@@ -168,7 +170,7 @@
 
     def __init__(self) -> None:
         self.slots: deque[Slot] = deque()
-        self.paused_until = 0
+        self.paused_until = 0  # ns; see `pause`
         self.pauses_without_answer = 0
         self.has_reached_destination = False
 
@@ -197,6 +199,7 @@
         self.pauses_without_answer += not self.has_reached_destination
 
     def drop_old_slots(self, index: int) -> None:
+        """Drops the slots that have left the statistics window; `index`: of the current slot."""
         while self.slots and self.slots[0].index <= index - WINDOW_SLOTS:
             self.slots.popleft()
 
@@ -231,12 +234,14 @@
         self.next_halving_at = 0
 
     def add(self, now: int, fraction: float) -> None:
+        """Counts a set-up delay, given as a fraction of the GoS target."""
         if now >= self.next_halving_at:
             self.bins = [weight / 2 for weight in self.bins]
             self.next_halving_at = now + HALF_LIFE
         self.bins[bisect_left(self.EDGES, fraction)] += 1
 
     def weight_above(self, fraction: float) -> float:
+        """Weight of the set-ups in the bins above the one that holds `fraction`."""
         return sum(self.bins[bisect_left(self.EDGES, fraction) + 1 :])
 
     def quantile(self, probability: float) -> float:
@@ -269,7 +274,7 @@
         self.name = name
         self.number = -1
         self.state = "gone"
-        self.cold_until = 0
+        self.cold_until = 0  # ns
         self.start_known_at, self.budget_phase = 0, 0.0  # see has_cold_budget
         self.free_circuits, self.group_size = 0, -1  # of the own trunk group to it; size -1: not known
         self.cold_setups: deque[int] = deque()  # times at which set-ups were sent during the cold time
@@ -308,7 +313,8 @@
     def update_window(self, finished: SetUpFinished) -> None:
         """Additive increase by one set-up per window of answers in time; multiplicative decrease on overload.
 
-        A queue at the exchange delays many set-ups, so there is one decrease per `MIN_DECREASE_INTERVAL`.
+        A queue at the exchange delays many set-ups, so there is at most one decrease per
+        `MIN_DECREASE_INTERVAL`.
         """
         now = self.loop.now
         in_time = finished.outcome == "answered" and finished.elapsed <= self.router.late_after
@@ -342,8 +348,9 @@
             )
 
     def admits(self, request: AdmissionRequest) -> bool:
-        # The own exchange is admitted in any state, also where the list is late: its callers have no other,
-        # and nothing is sent to it.
+        """Whether the call may be set up through this exchange, in the role that the request names."""
+        # The own exchange may be in any state, or not yet be listed as ready: its callers have no other, and
+        # no set-up is sent to it.
         own = request.role == "own"
         if (not own and self.state != "ready") or self.exceeds_window(request.call):
             return False
@@ -352,14 +359,14 @@
     def early_timeout(self) -> int:
         """Nanoseconds after which an unanswered set-up counts as lost; 0: no early time-out.
 
-        Guards against lost set-ups: where nearly all are answered soon, one that is not was probably lost.
-        The GoS target must leave time for the release and a second try; a slow exchange gets no early
-        time-out.
+        Where nearly all set-ups are answered soon, one that is not was probably lost. The GoS target must
+        leave time for the release and a second try; a slow exchange gets no early time-out.
         """
         target = self.router.target
-        few = sum(self.delays.bins) < DelayHistogram.MIN_WEIGHT  # then the delays of all exchanges are used
+        # Where this exchange has answered too few set-ups, the delays of all exchanges are used.
+        too_few = sum(self.delays.bins) < DelayHistogram.MIN_WEIGHT
         usual_delay = (
-            min(1.0, (self.router if few else self).delays.quantile(self.EARLY_TIMEOUT_QUANTILE)) * target
+            min(1.0, (self.router if too_few else self).delays.quantile(self.EARLY_TIMEOUT_QUANTILE)) * target
         )
         timeout = target - self.loop.settings.get("release_time", 0) - usual_delay
         return int(timeout) if timeout >= 2 * usual_delay else 0
@@ -367,7 +374,8 @@
     def has_free_circuits(self, circuits: int) -> bool:
         """Whether the trunk group to this exchange has that many free circuits.
 
-        True where nothing is known of the group yet: a set-up without circuits comes back without being sent.
+        True where nothing is known of the group yet: if it has no free circuits, the try ends without a
+        set-up being sent.
         """
         own = self.number == self.router.own_number
         return self.state == "ready" and not own and (self.group_size < 0 or self.free_circuits >= circuits)
@@ -375,6 +383,9 @@
     def has_cold_budget(self, own: bool) -> bool:
         """Whether this agent may send one more set-up to an exchange that is still cold (rule 4).
 
+        A cold exchange starts at `cold_from` of its capacity and fails if it gets more than `fall_multiple`
+        times its present capacity within `fall_time`; the budget is a part of that amount.
+
         All agents may react to the same event at once, so each keeps to its share of the budget. Every call
         has two ends, so half of an exchange's set-ups start there: that half is for the exchange's own agent.
         The capacity is known only for the start and the end of the cold time, so half of a linear growth
@@ -386,13 +397,14 @@
             self.router.max_setup_rate
         ):  # trunk groups may carry more than the processors behind them can set up
             rate = min(rate, self.router.max_setup_rate / SECOND)
-        carried = rate * get("fall_time", 0)
+        warm_setups = rate * get("fall_time", 0)  # that a warm exchange carries within the fall time
+        # Fractions: of the capacity at the start, and of the cold time that is still to come.
         initial, remaining = (
             get("cold_from", 1),
             (self.cold_until - self.loop.now) / max(1, get("cold_time", 0)),
         )
         budget: float = (
-            get("fall_multiple", 1) * (initial + (1 - initial) / 2 * (1 - remaining)) * carried / 2
+            get("fall_multiple", 1) * (initial + (1 - initial) / 2 * (1 - remaining)) * warm_setups / 2
         )
         share = max(0.01, budget if own else budget / self.router.peer_agents)
         window: float = get("fall_time", 0) / min(1.0, share)  # a share below 1: one set-up in a longer time
@@ -405,11 +417,12 @@
         return len(self.cold_setups) + assumed < max(1, int(share))
 
     def exceeds_window(self, call: Call) -> bool:
-        """Guards against a processor that is slow, overloaded, silent or cut off, whatever the cause.
+        """Whether to refuse the call because too many set-ups to this exchange are outstanding.
 
-        The outstanding set-ups are what each agent can see of every exchange; those of all agents together
-        are the queue there. Calls of less revenue get a smaller part of the window, so they are refused more
-        often. The decision is random where the call would exceed the window by less than one set-up.
+        This limits the load of a processor that is slow, overloaded, silent or cut off, whatever the cause:
+        the outstanding set-ups of all agents together are its queue, and each agent sees its own. Calls of
+        less revenue get a smaller part of the window, so they are refused more often. The decision is random
+        where the call would exceed the window by less than one set-up.
         """
         if self.window < 1 and self.loop.now > self.window_fixed_until:
             self.window = min(
@@ -433,7 +446,7 @@
     pending_route: Exchange | None = None  # where the one route try in progress was sent
     tries: int = 0
     release_at: int = 0  # nothing is sent before this time (rule 5)
-    may_have_run: bool = False  # rule 2, for bearer types that are not safe to repeat
+    may_have_run: bool = False  # no further try then for a bearer type that is not safe to repeat (rule 2)
     tandem_tries: int = 0
     sent_at: int = 0
     needs_tandems: bool = False  # its tandems are ranked only once the routes before them are used up
@@ -443,11 +456,11 @@
 class CallRouter(Actor):
     """The agent's calls and route statistics; the only place that sends set-ups and final answers."""
 
-    MAX_LATE_SHARE = 0.25  # of answers; from it on no call overflows and the own window shrinks
+    MAX_LATE_SHARE = 0.25  # fraction of answers; from here on no call overflows and the own window shrinks
     RETRY_CREDIT, MAX_RETRY_BUDGET = (
         0.1,
         10.0,
-    )  # further route tries earned by each first one, and the most kept
+    )  # further route tries that each first try allows, and the largest budget
     LATE_RETURN_SHARE = 0.2  # rate at which late callers return, as a fraction of the answered calls
     RETRY_JITTER = 0.4  # fraction of a third of the GoS target; spreads callers that were refused together
     MIN_GAP, MAX_GAP = SECOND, 8 * SECOND  # ns; a busy line comes free within about a holding time
@@ -468,6 +481,7 @@
         # Circuits kept for direct calls. With more agents there are more tandems to choose from and the
         # groups are smaller, so no group has to give its last circuits to overflow.
         self.reserved_circuits = max(MIN_RESERVED_CIRCUITS, int(get("agents", 1) ** 0.5))
+        # Whether the settings list the tandems of each bearer type; else every exchange may be a tandem.
         self.uses_pools: bool = get("topology", "mesh") == "pools"
         types: tuple[str, ...] = get("bearer_types", ())
         # GoS target in ns, the shortest of all bearer types.
@@ -475,8 +489,9 @@
         self.revenue = {name: float(get(f"revenue:{name}", 1.0)) for name in types}
         self.mean_revenue = sum(self.revenue.values()) / max(1, len(types)) or 1.0
         self.retry_budget = self.MAX_RETRY_BUDGET
-        self.next_return_slot_at = 0
-        # Nanoseconds; a set-up message that is repeated after the gap costs work and sets up no further call.
+        self.next_return_slot_at = 0  # ns; see `retry_delay`
+        # Nanoseconds after which an answer is late. No longer than `repeat_gap`, after which the set-up
+        # message is repeated: the repeat costs the exchange work and sets up no further call.
         self.late_after = min(self.target // 2, get("repeat_gap", 0) or self.target)
         self.holding_time = max((int(get(f"holding:{name}", SECOND)) for name in types), default=SECOND)
         self.delays = DelayHistogram()
@@ -509,11 +524,13 @@
                         self.handle_no_answer(call.pending_route, self.loop.now - call.sent_at)
 
     def get_exchange(self, name: str) -> Exchange:
+        """The exchange of that name, created when it is first mentioned."""
         if name not in self.exchanges:
             self.exchanges[name] = Exchange(self.loop, self, name)
         return self.exchanges[name]
 
     def handle_list(self, message: api.ListUpdated) -> None:
+        """Passes each entry to its exchange; where the list has to be asked for, asks for its changes."""
         for exchange in list(self.exchanges.values()):
             # Drops an exchange that was replaced: its trunk group now belongs to the replacement.
             if exchange.state == "gone" and self.exchanges_by_number.get(exchange.number) is not exchange:
@@ -538,6 +555,7 @@
             self.loop.actions.append(api.SetTimer(self.loop.now + int(self.loop.random() * SECOND), "follow"))
 
     def handle_timer(self, token: str) -> None:
+        """Asks for the list again ('follow'), or starts the next try of the call whose id the token is."""
         if token == "follow":
             self.loop.actions.append(api.FollowList())
         elif (
@@ -550,7 +568,8 @@
     def relative_revenue(self, arrival: api.CallArrived, attempt: CallerAttempt | None) -> float:
         """Expected revenue of the call, relative to the mean revenue.
 
-        Guards first tries against further tries that can no longer be answered within the GoS target.
+        A further try that can no longer be answered within the GoS target counts with the fraction
+        `late_revenue`, so that first tries go before it.
         """
         name, first_at = arrival.bearer_type, attempt.first_at if attempt is not None else -1
         late = 0 <= first_at < self.loop.now - self.target
@@ -576,6 +595,7 @@
         return (late + missing) / max(DelayHistogram.MIN_WEIGHT, sum(self.delays.bins) + missing)
 
     def update_circuits(self, message: api.LoadReported | api.TryEnded) -> None:
+        """Updates the number of circuits in all own groups, and passes the load report to its exchange."""
         exchange = self.get_exchange(message.exchange)
         self.circuits += max(0, int(message.load.get("size", exchange.group_size))) - max(
             0, exchange.group_size
@@ -587,6 +607,7 @@
         return max(Exchange.INITIAL_WINDOW, self.circuits * self.target / self.holding_time / agents)
 
     def route_statistics(self, destination: int, route: Exchange) -> RouteStatistics:
+        """The statistics of that route to that destination number, created when they are first used."""
         return self.statistics.setdefault((destination, route.name), RouteStatistics())
 
     def handle_call(self, arrival: api.CallArrived) -> None:
@@ -607,8 +628,9 @@
             and arrival.transit
             or arrival.over_share
         ):
-            # No such exchange, or over its gateway's share. Callers whose own agent is away reach the own
-            # exchange over a tandem, but a call in transit does not go on from its destination.
+            # No such exchange, a call in transit that has reached its destination, or a gateway over its
+            # share. Callers of another agent's exchange that use this agent while theirs is away do reach
+            # the own exchange, over a tandem.
             self.refuse(arrival, attempt)
         elif self.loop.now < gap_until and not arrival.transit:
             self.refuse(arrival, attempt, gap_until - self.loop.now)
@@ -621,14 +643,16 @@
 
     @staticmethod
     def request_key(arrival: api.CallArrived) -> RequestKey:
+        """What further tries of the same caller have in common, for the retry detection."""
         return arrival.gateway or arrival.customer, arrival.bearer_type, arrival.destination, arrival.number
 
     def request_admission(self, call: Call) -> None:
-        """First step of every try, also of the one that follows a lost try."""
+        """Asks the own exchange for admission, the first step of a call and of the try after a lost one."""
         own = self.exchanges_by_number.get(self.own_number)
         self.loop.post(own or call.destination, AdmissionRequest(call, "own" if own else "destination"))
 
     def handle_admission_response(self, response: AdmissionResponse) -> None:
+        """Goes on with the next step of the call, or with the next route or a refusal if not admitted."""
         call, role = response.request.call, response.request.role
         if role == "own" and response.admitted:
             self.loop.post(call.destination, AdmissionRequest(call, "destination"))
@@ -643,12 +667,12 @@
             self.block(call)
 
     def find_routes(self, call: Call) -> None:
-        """The direct route first, then tandems; these are ranked only when they are needed."""
+        """Lists the direct route if it has free circuits, and decides whether tandems may follow it."""
         if call.destination.has_free_circuits(call.arrival.width):
             call.routes.append(call.destination)
         if call.arrival.transit:
             return
-        # Guards against overflow that overloads the whole network: a tandem call costs a third processor.
+        # The overflow brake: a tandem call loads a third processor, so overflow can spread an overload.
         call.is_braked = (
             not self.uses_pools and self.loop.random() < self.late_share(1.0) / self.MAX_LATE_SHARE
         )
@@ -656,9 +680,11 @@
         call.needs_tandems = not call.is_braked or call.destination.group_size <= 0
 
     def rank_tandems(self, call: Call) -> None:
-        """By rising score, at equal scores those known to reach the destination, then most free circuits.
+        """Appends the usable tandems to the call's routes, the best first.
 
-        Looks at all exchanges, which a direct call must not cost.
+        They are sorted by rising score; at equal scores those known to reach the destination go first, then
+        those with most free circuits. The work grows with the number of exchanges, so it is done only for
+        calls that need a tandem.
         """
         call.needs_tandems = False
         key = f"pools:{call.arrival.bearer_type}"
@@ -780,6 +806,7 @@
     def remember_unserved(
         self, arrival: api.CallArrived, attempt: CallerAttempt | None, retry_after: int = 0
     ) -> None:
+        """Records that the call was not set up, to recognise its caller's next try; not in transit."""
         if attempt is not None:
             self.retry_detector.record_unserved(
                 self.loop.now, self.request_key(arrival), attempt, retry_after
@@ -793,10 +820,12 @@
     # Outcomes of route tries.
 
     def report_finished(self, route: Exchange, finished: SetUpFinished) -> None:
+        """Tells the exchange that the set-up was sent to, and the own one, that it has finished."""
         for exchange in dict.fromkeys((route, self.exchanges_by_number.get(self.own_number, route))):
             self.loop.post(exchange, finished)
 
     def handle_answer(self, message: api.TryAnswered) -> None:
+        """Records an answered try and forgets its call, which is set up."""
         call = self.calls.pop(message.call, None)
         if call is not None:
             route = self.get_exchange(message.exchange)
@@ -806,6 +835,7 @@
             self.gaps.pop(call.arrival.number, None)
 
     def handle_try_ended(self, message: api.TryEnded) -> None:
+        """Records the outcome of a try; then tries the next route, waits for the release or gives up."""
         route = self.get_exchange(message.exchange)
         self.update_circuits(message)
         call = self.calls.get(message.call)
@@ -832,6 +862,7 @@
 
     def record_outcome(self, call: Call, route: Exchange, message: api.TryEnded) -> None:
         """Updates what is known of the route, of the exchanges on it and of the called number."""
+        # A time-out says something about the route only if an answer would have been late by then.
         conclusive = message.result != "timeout" or message.delay >= self.late_after
         processor_full = message.cause == "processor_full" and message.result != "moot"
         if message.result == "timeout":
@@ -866,9 +897,10 @@
         )
 
     def widen_gap(self, number: str) -> None:
-        """Starts or doubles the gap of a busy number: its calls load every processor on the way for nothing.
+        """Starts or doubles the gap of a busy number, during which calls to it are refused at once.
 
-        The gap of a number that was answered is removed by `handle_answer`.
+        Calls to a busy number load every processor on the way and cannot be served. The gap of a number that
+        was answered is removed by `handle_answer`.
         """
         now, (_, length) = self.loop.now, self.gaps.get(number, (0, 0))
         length = min(2 * length, self.MAX_GAP) if length else self.MIN_GAP
@@ -879,8 +911,8 @@
 class Controller:
     """Makes the decisions of one call agent; the same seed, settings and events lead to the same actions.
 
-    `retry_detector` and `relative_revenue` are what the agent uses before it passes a call on: the
-    detection of further tries, and the expected revenue of a call.
+    The agent uses `retry_detector` (detection of further tries) and `relative_revenue` (expected revenue of a
+    call) before it passes a call on.
     """
 
     def __init__(self, seed: int, settings: api.Settings) -> None:
--- a/peattrestle/interface.py
+++ b/peattrestle/interface.py
@@ -19,6 +19,7 @@
 class Entry:
     """One entry of the exchange list.
 
+    exchange, number: name and number of the exchange. zone: where it runs, '' where that is not known.
     state: 'ready', 'draining' or 'gone'. started_at: when the exchange started, 0 where that is not known.
     """
 
@@ -90,8 +91,9 @@
     cause: '', 'no_circuit' (none free in the trunk group), 'turned_back' (the tandem has none to the
     destination), 'beyond_full' (the destination's processor is full, behind a tandem), 'processor_full' or
     'lines_busy' (the called number).
-    delay: from sending the set-up. done: the call has had its final answer. wait: time after which a full
-    processor asked to try again, 0 for none. load: what the exchange reported.
+    delay: from sending the set-up. route_try: index of the try within its call, from 0. done: the call has
+    had its final answer. wait: time after which a full processor asked to try again, 0 for none. load: what
+    the exchange reported.
     """
 
     call: int
@@ -121,7 +123,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReported:
-    """Circuits of the trunk group to an exchange, and the load of its processor where that was asked for."""
+    """Circuits of the trunk group to an exchange, and the load of its processor where that was asked for.
+
+    result, delay: as in `TryEnded`; the controller does not use them.
+    """
 
     exchange: str
     result: str
@@ -134,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetUp:
-    """Starts a route try: sends a set-up to `exchange`, which has to answer within `patience`."""
+    """Starts a route try: sends a set-up to `exchange`; without an answer within `patience` the try ends."""
 
     call: int
     exchange: str
@@ -158,7 +163,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Asks for a `TimerDue` at or after `at`."""
+    """Asks for a `TimerDue` with the same token, at the time `at` or soon after."""
 
     at: int
     token: str
