--- a/peattrestle/policy/shutdown.py
+++ b/peattrestle/policy/shutdown.py
@@ -2,8 +2,8 @@
 
 The platform may kill the process from a known time on. By then every accepted call must be answered and every
 connection closed. So calls are abandoned at the latest when the last answers are due, and a call that can no
-longer be set up in time is refused at once, before anything is sent for it. Times are nanoseconds of the
-caller's clock.
+longer be set up in time is refused at once, before anything is sent for it. Times are nanoseconds on the
+clock that `now` is read from.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 MAX_COUNTED_DEADLINE = 3_000 * MS  # the platform counts a longer deadline as this
 KILL_DELAY = 700 * MS  # from SIGTERM to the earliest kill, beyond the longest deadline
 CLOSE_MARGIN = 200 * MS  # before the kill: set-ups may cross the close for 50 ms, and a busy core delays it
-ANSWER_BEFORE_CLOSE = 20 * MS
+ANSWER_BEFORE_CLOSE = 20 * MS  # from the last answers to the close
 QUIET_TIME = 500 * MS  # without a set-up, before an agent without calls ends early
 MIN_SHUTDOWN_TIME = 1_000 * MS  # new connections and set-ups on them arrive until 0.6 s after SIGTERM
 
--- a/peattrestle/storms/decaying_statistics.py
+++ b/peattrestle/storms/decaying_statistics.py
@@ -18,15 +18,17 @@
         self.amount, self.updated_at = 0.0, 0
 
     def add(self, now: int, amount: float = 1.0) -> None:
+        """Adds `amount` to what is left of the earlier ones."""
         self.amount = self.value(now) + amount
         self.updated_at = now
 
     def value(self, now: int) -> float:
+        """The decayed amount at `now`."""
         decay: float = 0.5 ** ((now - self.updated_at) / self.half_life)
         return self.amount * decay
 
     def rate(self, now: int) -> float:
-        """Events per second, exact for steady events; after a change it is half way there in `half_life`."""
+        """Events per second at a steady rate; it follows a change of rate half way within `half_life`."""
         return self.value(now) * LN2 * SECOND / self.half_life
 
 
--- a/peattrestle/storms/gateway_admission.py
+++ b/peattrestle/storms/gateway_admission.py
@@ -16,7 +16,7 @@
 
 
 def max_min(offered: Mapping[str, float], weights: Mapping[str, float], total: float) -> dict[str, float]:
-    """Weighted max-min fair division of `total`: nobody gets more than it offers, by name.
+    """Weighted max-min fair division of `total` among the names in `offered`; no part exceeds the offer.
 
     The parts add up to `total` or to the sum of what is offered, whichever is less.
     """
@@ -34,7 +34,7 @@
 class Demand:
     """The calls that one gateway offers and the probability that they are admitted, by expected revenue.
 
-    There are few values of it: for each bearer type one for calls in time, and one for late ones.
+    Expected revenue takes few values: for each bearer type one for calls in time, and one for late ones.
     """
 
     counters: dict[float, DecayingCounter] = field(default_factory=dict)
@@ -43,6 +43,7 @@
     MAX_REVENUES = 16  # distinct values counted
 
     def add(self, now: int, revenue: float) -> None:
+        """Counts a call of this expected revenue."""
         counter = self.counters.get(revenue)
         if counter is None:
             if len(self.counters) >= self.MAX_REVENUES:
@@ -51,6 +52,7 @@
         counter.add(now)
 
     def offered(self, now: int) -> float:
+        """Calls per second that the gateway offers."""
         return sum(counter.rate(now) for counter in self.counters.values())
 
     def set_share(self, now: int, share: float) -> None:
@@ -80,7 +82,7 @@
 
     START_SHARE, END_SHARE = 0.3, 0.1  # fraction of the admitted calls that the controller refuses
     START_AFTER, END_AFTER = SECOND // 2, 2 * SECOND  # ns
-    MAX_OVERLOAD_FACTOR = 4.0  # at half of it, first calls are limited too while a region is unreachable
+    MAX_OVERLOAD_FACTOR = 4.0  # half of this would also limit first calls while a region is unreachable
     PEER_GROWTH_FACTOR = 1.5  # of the growth of the other gateways
     UPDATE_INTERVAL = SECOND // 4  # ns
     MIN_RATE = 2.0  # calls per second that are never limited
@@ -97,9 +99,9 @@
             DecayingCounter(HALF_LIFE),
         )
         self.is_limiting = False
-        self.turned_away = 0
+        self.turned_away = 0  # calls refused here
         self._best_rate, self._best_at = 0.0, 0
-        self._threshold_passed_at = -1
+        self._threshold_passed_at = -1  # ns, since when `is_limiting` is due to change; -1: it is not
         self._next_update_at = 0
 
     def count_answered(self, now: int) -> None:
@@ -138,7 +140,7 @@
         return max(self.MIN_RATE, self.MAX_OVERLOAD_FACTOR * self._best_rate)
 
     def update(self, now: int) -> None:
-        """Updates the state and the shares, once per `UPDATE_INTERVAL`.
+        """Starts or ends the limits and divides the shares anew, at most once per `UPDATE_INTERVAL`.
 
         The work grows with the number of gateways.
         """
@@ -146,16 +148,16 @@
             return
         self._next_update_at = now + self.UPDATE_INTERVAL
         admitted = self.admitted.rate(now)
-        share = self.refused_calls.rate(now) / max(1e-9, admitted)
+        refused_share = self.refused_calls.rate(now) / max(1e-9, admitted)
         if self.is_limiting:
-            # Without calls the share does not change, so a low rate of calls ends the limits as well.
+            # Without calls this share does not change, so a low rate of calls ends the limits as well.
             past_threshold, min_duration = (
-                share < self.END_SHARE or admitted < self.MIN_RATE / 2,
+                refused_share < self.END_SHARE or admitted < self.MIN_RATE / 2,
                 self.END_AFTER,
             )
         else:
             past_threshold, min_duration = (
-                share >= self.START_SHARE and admitted >= self.MIN_RATE,
+                refused_share >= self.START_SHARE and admitted >= self.MIN_RATE,
                 self.START_AFTER,
             )
         if not past_threshold:
@@ -197,10 +199,10 @@
             )
             share = min(shares[name], max(min_shares[name], growth_share))
             self.demands[name].set_share(now, share)
-            # A gateway that is not limited more than by the total is told its weighted part of the total. If
-            # that followed from what it offers now, its limit would shrink with each notice it keeps to.
-            whole_part = 0.0 if share < shares[name] else max_rate * weights[name] / total_weight
-            self.rate_limits[name] = max(share, whole_part)
+            # A gateway that only the total limits is told its weighted part of the total. If its limit were
+            # computed from what it offers now, it would shrink with each notice that the gateway obeys.
+            part_of_total = 0.0 if share < shares[name] else max_rate * weights[name] / total_weight
+            self.rate_limits[name] = max(share, part_of_total)
 
     def limits_to_announce(self) -> dict[str, float]:
         """Rate in calls per second that each gateway may offer; empty while none is limited."""
--- a/peattrestle/storms/notice.py
+++ b/peattrestle/storms/notice.py
@@ -32,7 +32,7 @@
 
 
 class Notices:
-    """Decides which notices to send; `first`: the number after which the notices are numbered.
+    """Decides which notices to send; the first one gets the number `first` + 1.
 
     A gateway gets at most one notice per `MIN_CHANGE_INTERVAL`, and none at all if it was never limited.
     """
--- a/peattrestle/storms/restarts.py
+++ b/peattrestle/storms/restarts.py
@@ -22,16 +22,16 @@
     """Admits restarts at `rate` per second, `burst` at once; each of the others gets a time slot of its own.
 
     At quiet times every restart is admitted at once. Where `max_slots` gateways restart together, the last
-    one waits `max_slots` / `rate` seconds; nobody waits longer, however many names there are. A slot once
-    given is kept for its gateway, so that asking early or repeatedly gains it nothing and costs it nothing.
-    At most `max_slots` slots are kept.
+    one waits `max_slots` / `rate` seconds; no gateway waits longer, however many there are. A slot once given
+    is kept for its gateway, so asking early or repeatedly neither shortens nor lengthens its wait. At most
+    `max_slots` slots are kept.
     """
 
     def __init__(self, rate: float, burst: int, max_slots: int) -> None:
         self.burst, self.max_slots = burst, max_slots
         self.interval = round(SECOND / rate)  # ns between two slots
-        self.next_at = -(1 << 62)
-        self.slots: OrderedDict[str, int] = OrderedDict()
+        self.next_at = -(1 << 62)  # ns, time of the next free slot
+        self.slots: OrderedDict[str, int] = OrderedDict()  # ns, by gateway
 
     def wait_for(self, now: int, gateway: str) -> int:
         """Asks to admit a restart now: 0 if it is admitted, else nanoseconds after which to ask again."""
@@ -42,7 +42,7 @@
                 return 0
             return slot - now
         self.next_at = max(self.next_at, now - (self.burst - 1) * self.interval)
-        slot = min(self.next_at, now + self.max_slots * self.interval)  # bounded for any number of names
+        slot = min(self.next_at, now + self.max_slots * self.interval)  # bounded for any number of gateways
         self.next_at = slot + self.interval
         if slot <= now:
             return 0
--- a/peattrestle/storms/retry_detection.py
+++ b/peattrestle/storms/retry_detection.py
@@ -57,7 +57,7 @@
         self.abandon_time, self.max_unserved = abandon_time, max_unserved
         self.unserved_count = 0
         self._unserved: dict[RequestKey, deque[UnservedTry]] = {}
-        self._order: deque[tuple[int, RequestKey]] = deque()
+        self._order: deque[tuple[int, RequestKey]] = deque()  # when each unserved try ended, oldest first
         self._marking: OrderedDict[str, None] = OrderedDict()  # gateways that have marked a further try
 
     def classify(self, now: int, key: RequestKey, marked: bool, was_cut: bool) -> CallerAttempt:
@@ -68,8 +68,8 @@
         if marked:
             self._remember_marking(key[0])
         elif key[0] in self._marking:
-            # This gateway marks further tries, so this is a first one. A gateway that omits marks to gain
-            # by it still gets no more than its share.
+            # This gateway marks further tries, so this is a first one. A gateway that omits marks, so that
+            # its repeats count as first tries, still gets no more than its share.
             return CallerAttempt(FIRST, now)
         while (previous := self._take(key)) is not None:
             if now < previous.first_at + self.abandon_time:
@@ -108,6 +108,7 @@
             self._drop_oldest()
 
     def _take(self, key: RequestKey) -> UnservedTry | None:
+        """Removes and returns the oldest unserved try of this request."""
         same_request = self._unserved.get(key)
         if not same_request:
             return None
--- a/peattrestle/storms/storm_detection.py
+++ b/peattrestle/storms/storm_detection.py
@@ -4,7 +4,7 @@
 stays below a lower threshold for a minimum time:
 
 - retry: further tries outnumber first ones. A surge of first calls is no storm, however high, unless so many
-  calls are refused that the repeats outnumber them: with two redials per caller that takes six in ten.
+  calls are refused that the repeats outnumber them: with two redials per caller, about six calls in ten.
 - return: callers whose calls were cut call again.
 - reconnect: many of the known gateways connect at once.
 
@@ -68,16 +68,16 @@
 
 
 class StormDetector:
-    """Detects storms from every call and connection it is told of; `update` may be called at any interval."""
+    """Detects storms from the calls and connections counted; `update` may be called at any interval."""
 
     def __init__(self) -> None:
         self.first, self.further = DecayingCounter(HALF_LIFE), DecayingCounter(HALF_LIFE)
         self.returned, self.connects = DecayingCounter(HALF_LIFE), DecayingCounter(HALF_LIFE)
-        self.tries = Histogram((1, 2, 3, 5, 8), 4 * SECOND)  # number of the try of its caller
+        self.tries = Histogram((1, 2, 3, 5, 8), 4 * SECOND)  # tries of the caller up to this call
         self.retry_times = Histogram((0.5, 0.9, 1.1, 2.0), 4 * SECOND)  # as fractions of the advised time
         self.disconnections = Histogram((0.1, 0.5, 2.0, 10.0), 4 * SECOND)  # seconds that they lasted
         self.returns = Histogram((0.5, 1.0, 2.0, 5.0), 4 * SECOND)  # seconds from a cut to the next call
-        self._last_cuts: OrderedDict[str, int] = OrderedDict()
+        self._last_cuts: OrderedDict[str, int] = OrderedDict()  # ns, by gateway
         self.gateways = 0
         self.states = {kind: _KindState() for kind in THRESHOLDS}
 
@@ -143,8 +143,8 @@
         """
         if kind == RECONNECT:
             rate = self.connects.rate(now)
-            # The counter shows one event as a rate of ln 2, about 0.7, per half-life: divided by that, all
-            # gateways at once are a share of 1.
+            # One event counts as a rate of ln 2, about 0.7, per half-life. Divided by that, the share is 1
+            # when all gateways connect at once.
             return rate / max(1, self.gateways) / 0.7, rate
         rate = (self.further if kind == RETRY else self.returned).rate(now)
         return rate / max(1e-9, self.offered(now)), rate
@@ -189,7 +189,7 @@
             disconnected = self.disconnections.format(now, " s")
             return (
                 f"{rate:.1f} connections a second from {self.gateways} known gateways; "
-                f"gone for {disconnected or '-'}"
+                f"disconnected for {disconnected or '-'}"
             )
         repeats = "further tries" if kind == RETRY else "calls after a cut"
         return (
