--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -43,8 +43,8 @@
         exchanges: int = 4,
     ) -> None:
         self.controller = Controller(seed, SETTINGS | (settings or {}))
-        self.now = 0
-        self.tries: dict[int, int] = {}
+        self.now = 0  # ns
+        self.tries: dict[int, int] = {}  # index of the last try that ended, by call
         self.handle_at(
             0, api.ListUpdated("cached", tuple(api.Entry(f"x{n}", n, "ready") for n in range(exchanges)))
         )
@@ -62,6 +62,7 @@
     def call(
         self, ms: float, call: int, to: int = 1, patience: float = 3000, **overrides: Any
     ) -> list[api.Action]:
+        """A call to the exchange with the number `to`, whose caller gives up after `patience`."""
         abandon_at = int((ms + patience) * MS)
         fields: dict[str, Any] = {"bearer_type": "line", "number": f"n{call}"} | overrides
         return self.handle_at(ms, api.CallArrived(call, abandon_at=abandon_at, destination=to, **fields))
--- a/tests/storms/test_agent.py
+++ b/tests/storms/test_agent.py
@@ -19,9 +19,9 @@
 SECOND = 1_000_000_000
 
 
-def services(answered: Any) -> dict[str, str]:
+def services(received: Any) -> dict[str, str]:
     """Items of the Services descriptor in the reply to a request."""
-    command = package.first_command(answered.reply.actions)
+    command = package.first_command(received.reply.actions)
     descriptor = command[1].find("Services") if command else None
     return {item.name: item.value or "" for item in (descriptor.items or ())} if descriptor else {}
 
@@ -67,7 +67,7 @@
 def test_a_gateway_that_floods_gets_a_rate_limit_that_is_lifted_later() -> None:
     harness = AgentHarness(Limits())
     notices: list[Notice] = []
-    codes: list[tuple[int, int]] = []
+    outcomes: list[tuple[int, int]] = []  # code and retry delay of each final answer
 
     def receive(session: Any, stream: Any) -> Coroutine[None]:
         while data := (yield from stream.read()):
@@ -83,7 +83,7 @@
                     )
                 elif isinstance(message, ReplyReceived) and isinstance(message.attachment, int):
                     outcome = package.read_outcome(message.reply)
-                    codes.append((outcome.code, outcome.retry_after))
+                    outcomes.append((outcome.code, outcome.retry_after))
 
     handle, limited_calls = harness.agent.controller.handle, list[int]()
 
@@ -106,9 +106,9 @@
         yield from harness.kernel.sleep(10 * SECOND)
 
     harness.run(body())
-    assert len(codes) == 300  # one final answer each, limited or not
+    assert len(outcomes) == 300  # one final answer each, limited or not
     assert len(limited_calls) == harness.agent.counts.values["held_to_share"] > 10
-    assert all(come_back > 0 for code, come_back in codes if code == package.REFUSED)
+    assert all(retry_after > 0 for code, retry_after in outcomes if code == package.REFUSED)
     assert notices[0].lifetime > 0 and notices[0].rate < 200
     assert notices[-1].lifetime == 0  # lifted
     assert [notice.number for notice in notices] == sorted({notice.number for notice in notices})
@@ -140,7 +140,7 @@
         ("ptl/rat{cps=1,val=5}", "seq"),
     ],
 )
-def test_encoding_and_errors_of_a_notice(event: str, error: str) -> None:
+def test_a_notice_is_encoded_and_decoded_and_errors_name_the_field(event: str, error: str) -> None:
     message = text.parse(
         b"MEGACO/1 <a1>\nTransaction=3{Context=-{Notify=ROOT{ObservedEvents=0{" + event.encode() + b"}}}}"
     )
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -40,8 +40,8 @@
     `seconds`: for each second the number of first, further and returned calls, and of connections (from 20
     gateways).
     """
-    watch, changes = StormDetector(), []
-    seen = {
+    detector, changes = StormDetector(), []
+    attempts = {
         FIRST: CallerAttempt(FIRST, 0),
         FURTHER: CallerAttempt(FURTHER, 0, 2),
         RETURNED: CallerAttempt(RETURNED, 0),
@@ -51,10 +51,10 @@
             now = second * SECOND + step * 50 * MS
             for kind, count in zip((FIRST, FURTHER, RETURNED), counts[:3], strict=True):
                 for _ in range(count * (step + 1) // 20 - count * step // 20):
-                    watch.count_call(now, seen[kind])
+                    detector.count_call(now, attempts[kind])
             for _ in range(counts[3] * (step + 1) // 20 - counts[3] * step // 20):
-                watch.count_connection(now, 20, 500 * MS)
-            for storm in watch.update(now):
+                detector.count_connection(now, 20, 500 * MS)
+            for storm in detector.update(now):
                 changes.append((storm.kind, now / SECOND, storm.ended_at > 0))
     return changes
 
@@ -95,11 +95,11 @@
 
 
 def test_a_storm_reports_its_size_and_evidence() -> None:
-    watch = StormDetector()
+    detector = StormDetector()
     for at in range(0, 4000, 20):
-        watch.count_call(at * MS, CallerAttempt(FURTHER, 0, 3, 1, 500 * MS))
-        watch.update(at * MS)
-    storm = watch.states[RETRY].storm
+        detector.count_call(at * MS, CallerAttempt(FURTHER, 0, 3, 1, 500 * MS))
+        detector.update(at * MS)
+    storm = detector.states[RETRY].storm
     assert storm is not None and storm.size > 100 and storm.peak > 40
     assert "further tries" in storm.evidence and "without repeats" in storm.evidence
 
@@ -109,7 +109,7 @@
     st.floats(0, 2000),
     st.randoms(use_true_random=False),
 )
-def test_max_min_gives_no_more_than_wanted_and_nothing_is_left_over(
+def test_max_min_gives_no_more_than_offered_and_divides_the_whole_total(
     offered: dict[str, float], total: float, draw: random.Random
 ) -> None:
     weights = {name: draw.uniform(0.1, 5) for name in offered}
--- a/tests/storms/test_retry_detection.py
+++ b/tests/storms/test_retry_detection.py
@@ -48,11 +48,11 @@
     detector = make_detector()
     for earlier in earlier_tries:
         refuse(detector, earlier * MS)
-    seen = detector.classify(at * MS, key, marked, cut)
-    assert (seen.kind, seen.first_at) == (kind, first_at * MS if first_at >= 0 else -1)
+    attempt = detector.classify(at * MS, key, marked, cut)
+    assert (attempt.kind, attempt.first_at) == (kind, first_at * MS if first_at >= 0 else -1)
 
 
-def test_each_refused_call_explains_one_further_try() -> None:
+def test_each_refused_call_accounts_for_one_further_try() -> None:
     detector = make_detector()
     assert [detector.classify(at, KEY, False, False).kind for at in range(3)] == [
         FIRST
@@ -64,9 +64,9 @@
 def test_tries_and_advice_are_carried_over_to_the_further_try() -> None:
     detector = make_detector()
     refuse(detector, 0, retry_after=500)
-    again = detector.classify(300, KEY, False, False)
-    assert (again.tries, again.advised_at, again.due_at) == (2, 0, 500)
-    detector.record_unserved(300, KEY, again, 0)
+    second = detector.classify(300, KEY, False, False)
+    assert (second.tries, second.advised_at, second.due_at) == (2, 0, 500)
+    detector.record_unserved(300, KEY, second, 0)
     third = detector.classify(900, KEY, False, False)
     assert (third.tries, third.first_at, third.due_at) == (3, 0, 0)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -110,7 +110,7 @@
     ("reached", "returning", "expected"),
     [
         ([2], [], "x2"),  # has reached the destination, though another tandem has more free circuits
-        ([], [3], "x2"),
+        ([], [3], "x2"),  # x3 has just sent a call here, so it is paused
         ([3], [3], "x2"),
     ],
 )
@@ -179,7 +179,10 @@
 
 
 def lose_two_setups(agent: Agent) -> None:
-    """One set-up is lost at each of two exchanges while a third answers soon: few are seen per exchange."""
+    """Loses one set-up at each of two exchanges, while a third one answers soon.
+
+    An agent sees few losses at each single exchange, so it counts them over all exchanges.
+    """
     for number in range(4):
         agent.call(10 * number, 100 + number, 3)
         agent.answered(10 * number + 9, 100 + number, 3, 9)
@@ -266,21 +269,24 @@
         (1, "transit", 1),
         (3, "tandem", 1),
         (2, "direct", 4),
-        (1, "onward", 1),
+        (1, "behind tandem", 1),
     ],
 )
 def test_a_cold_exchange_gets_this_agents_share(cold: int, role: str, expected: int) -> None:
     """90 circuits held 10 s carry 9 set-ups a second; half of 2 x 0.3 of that is 2.7.
 
-    That is the budget of the exchange's own agent, and for each of the three others 0.9.
+    That is the budget of the exchange's own agent, and for each of the three others 0.9. `role` is how the
+    cold exchange is used; `expected` how many of four calls are set up early in the cold time.
     """
-    agent = Agent({1: 0, 2: 2} if role in ("tandem", "onward") else {}, settings={"cold_time": 140_000 * MS})
+    agent = Agent(
+        {1: 0, 2: 2} if role in ("tandem", "behind tandem") else {}, settings={"cold_time": 140_000 * MS}
+    )
     agent.set_state(100, cold, "ready", started=100)
 
     def try_four(ms: float, first: int) -> int:
         actions = [agent.call(ms + number, first + number, transit=role == "transit") for number in range(4)]
         for number in range(4):
-            agent.answered(ms + 10, first + number, 3 if role in ("tandem", "onward") else 1)
+            agent.answered(ms + 10, first + number, 3 if role in ("tandem", "behind tandem") else 1)
         return sum(len(set_up_routes(call_actions)) for call_actions in actions)
 
     assert try_four(1300, 10) == expected
@@ -457,9 +463,9 @@
 
 
 @pytest.mark.parametrize(
-    ("free", "end", "looks_at_all"),
+    ("free", "end", "checks_all"),
     [
-        (None, None, False),  # the direct group has free circuits: no other exchange is looked at
+        (None, None, False),  # the direct group has free circuits: no other exchange is checked
         ({1: 0}, None, True),
         (None, ("moot", "no_circuit"), True),  # not sent: its tandems are needed now
         (None, ("full", "processor_full"), False),
@@ -468,22 +474,22 @@
 def test_tandems_are_ranked_only_when_they_are_needed(
     free: dict[int, int] | None,
     end: tuple[str, str] | None,
-    looks_at_all: bool,
+    checks_all: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     agent, original = Agent(free, exchanges=20), Exchange.has_free_circuits
-    asked_names: set[str] = set()
+    checked_names: set[str] = set()
 
     def has_free_circuits(exchange: Exchange, circuits: int) -> bool:
-        asked_names.add(exchange.name)
+        checked_names.add(exchange.name)
         return original(exchange, circuits)
 
     monkeypatch.setattr(Exchange, "has_free_circuits", has_free_circuits)
     routes = set_up_routes(agent.call(10, 1))
     if end is not None:
         routes += set_up_routes(agent.try_ended(20, 1, 1, end[0], cause=end[1]))
-    assert (len(asked_names) > 15) == looks_at_all
-    assert len(routes) == 1 + (looks_at_all and free is None)
+    assert (len(checked_names) > 15) == checks_all
+    assert len(routes) == 1 + (checks_all and free is None)
 
 
 @pytest.mark.parametrize(
@@ -509,7 +515,7 @@
         agent.handle_at(6, api.LoadReported("x2", "served", 0, {"rate": reported}))
     agent.controller._router.exchanges_by_number[0].start_known_at = -(
         1 << 60
-    )  # the assumed set-up is long past
+    )  # so the set-up that is assumed before it has left the window
     setups = 0
     for call in range(40):
         setups += len(set_up_routes(agent.call(10 + call, call, to=1 + call % 3)))
@@ -563,16 +569,16 @@
         agent.call(0, call)
         agent.answered(50, call, 1)
     agent.set_state(100, 1, "draining")
-    soon = retry_delays(agent, 1000, range(100))
-    assert min(soon) >= 400 and max(soon) <= 600 and len(set(soon)) > 50
-    late = []
+    delays_in_time = retry_delays(agent, 1000, range(100))
+    assert min(delays_in_time) >= 400 and max(delays_in_time) <= 600 and len(set(delays_in_time)) > 50
+    late_delays = []
     for call in range(300, 310):  # each a caller whose first try was two seconds ago
-        late += retry_delays(agent, 3000, range(call, call + 1), number=f"n{call - 280}")
-    slots = late[:4]
+        late_delays += retry_delays(agent, 3000, range(call, call + 1), number=f"n{call - 280}")
+    slots = late_delays[:4]
     assert slots == sorted(slots) and all(
         500 <= gap <= 1500 for gap in (slots[at + 1] - slots[at] for at in range(3))
     )
-    assert max(late) <= 5000 and min(late) >= 400  # the rest at random times up to the limit
+    assert max(late_delays) <= 5000 and min(late_delays) >= 400  # the rest at random times up to the limit
 
 
 def test_a_call_over_its_gateways_share_is_refused_with_a_retry_delay() -> None:
