--- a/benchmarks/agent_load.py
+++ b/benchmarks/agent_load.py
@@ -33,7 +33,7 @@
 from peattrestle.runtime.epoll import EpollKernel
 from peattrestle.settings.agent import Agent, Bearer, Limits
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # nanoseconds
 DURATION = 5  # seconds
 
 
@@ -60,6 +60,7 @@
 
 def bare_loop(pairs: list[tuple[str, str]], report: str, seconds: float) -> None:
     """Forwards bytes in both directions between each pair of a listening and an onward address."""
+    # By file descriptor: the socket, and the socket that its bytes are forwarded to.
     epoll, sockets, peers = select.epoll(), {}, {}
     listeners = {}
     for listen, onward in pairs:
@@ -103,6 +104,7 @@
         self.bytes = 0
 
     def serve_exchange(self, stream: Stream) -> Coroutine[None]:
+        """Answers the requests on one connection as an exchange."""
         session = Session("<x>", Transactions(), stream.write)
         while data := (yield from stream.read()):
             self.bytes += len(data)
@@ -124,6 +126,7 @@
             )
 
     def listen(self, address: str) -> Coroutine[None]:
+        """Accepts connections to an exchange at `address`."""
         listener = self.kernel.listen(address)
         while True:
             self.kernel.spawn(self.serve_exchange((yield from listener.accept())), "exchange")
@@ -152,10 +155,10 @@
         while data := (yield from stream.read()):
             for event in session.feed(self.kernel.now(), data):
                 if isinstance(event, ReplyReceived) and isinstance(event.attachment, tuple):
-                    termination, at = event.attachment
+                    termination, sent_at = event.attachment
                     if package.read_outcome(event.reply).code == 0:
                         self.established += 1
-                        self.delays.record_value(max(1, (self.kernel.now() - at) // 1000))
+                        self.delays.record_value(max(1, (self.kernel.now() - sent_at) // 1000))
                         if self.holding_time >= 0:
                             self.kernel.call_at(
                                 self.kernel.now() + self.holding_time,
@@ -163,9 +166,11 @@
                             )
 
     def release(self, session: Session, termination: str) -> None:
+        """Releases an established call."""
         session.request(None, lambda number: package.subtract_text(number, "*", termination))
 
     def serve_exchange_list(self, address: str, exchanges: list[str]) -> Coroutine[None]:
+        """Sends the exchange list to each client that connects; `exchanges`: addresses, by number."""
         listener = self.kernel.listen(address)
         rows = [
             {"exchange": f"x{n}", "number": n, "state": "ready", "address": a}
@@ -179,8 +184,9 @@
 def run(
     rate: float, holding_time: int = SECOND, seconds: float = DURATION, through: str = "agent"
 ) -> dict[str, float]:
-    """Runs one measurement and returns its figures; delays are in milliseconds.
+    """Runs one measurement and returns its figures: 'cpu' in seconds, 'rss' in bytes, delays in milliseconds.
 
+    `rate` is in calls per second, `holding_time` in nanoseconds; calls are sent for `seconds`.
     `through` is 'agent', or 'bare' for the bare loop between the same callers and exchanges.
     """
     folder = tempfile.mkdtemp(prefix="peattrestle-bench-")
@@ -213,7 +219,7 @@
     process.join(20)
     process.kill()
     measurements: dict[str, float] = json.loads(Path(report).read_text())
-    measurements.update(rate=rate, asked=generator.sent, stood=generator.established)
+    measurements.update(rate=rate, calls_sent=generator.sent, calls_established=generator.established)
     for percentile in (50, 90, 99, 99.9):
         measurements[f"p{percentile}"] = generator.delays.get_value_at_percentile(percentile) / 1000
     return measurements
@@ -225,24 +231,26 @@
     rates = [float(argument) for argument in sys.argv[1:]] or [10, 100, 500, 1000, 1500]
     for rate in rates:
         figures = run(rate)
-        cpu = (figures["cpu"] - idle) / max(1, figures["asked"])
-        share = (figures["cpu"] - idle) / DURATION
+        cpu_per_call = (figures["cpu"] - idle) / max(1, figures["calls_sent"])  # seconds
+        core_share = (figures["cpu"] - idle) / DURATION
         print(
-            f"{rate:6.0f} calls/s  stood {figures['stood']} of {figures['asked']}  "
-            f"{cpu * 1e6:5.0f} us a call, {share:4.0%} of a core  added delay ms p50 {figures['p50']:.2f} "
-            f"p90 {figures['p90']:.2f} p99 {figures['p99']:.2f}"
+            f"{rate:6.0f} calls/s  established {figures['calls_established']} of {figures['calls_sent']}  "
+            f"{cpu_per_call * 1e6:5.0f} us a call, {core_share:4.0%} of a core  "
+            f"added delay ms p50 {figures['p50']:.2f} p90 {figures['p90']:.2f} p99 {figures['p99']:.2f}"
         )
     agent_run = run(500)
     bare = run(500, through="bare")
-    agent_cost = (agent_run["cpu"] - idle) / agent_run["asked"]
-    bare_cost = (bare["cpu"] - idle_bare) / bare["asked"]
+    agent_cost = (agent_run["cpu"] - idle) / agent_run["calls_sent"]
+    bare_cost = (bare["cpu"] - idle_bare) / bare["calls_sent"]
     print(
         f"a call through the agent costs {agent_cost / bare_cost:.1f} times what the bare loop needs to move "
         f"its bytes once ({agent_cost * 1e6:.0f} and {bare_cost * 1e6:.0f} us)"
     )
     before, after = run(0.001, seconds=1), run(2000, holding_time=-1, seconds=5)
-    calls = after["stood"]
-    print(f"{(after['rss'] - before['rss']) / max(1, calls):.0f} bytes a held call, {calls:.0f} held")
+    calls = after["calls_established"]
+    print(
+        f"{(after['rss'] - before['rss']) / max(1, calls):.0f} bytes a call in progress, {calls:.0f} of them"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/module_size.py
+++ b/benchmarks/module_size.py
@@ -1,4 +1,6 @@
-"""Calls a second through `Controller.handle` alone, by number of exchanges, for direct answered calls.
+"""Calls a second through `Controller.handle` alone, by number of exchanges.
+
+Every call takes the direct route and is answered.
 
     python benchmarks/module_size.py
 
@@ -12,7 +14,7 @@
 from peattrestle import interface as api
 from peattrestle.control import Controller
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 
 
 def calls_a_second(exchanges: int, calls: int = 20_000) -> float:
--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -1,15 +1,16 @@
 """Compares variants of the retry storm control on the virtual kernel, on the same seeds, with error bars.
 
-    python benchmarks/storms.py sides     [--seeds 20]   all parts, off (one fixed wait), no advice, own waits
+    python benchmarks/storms.py sides     [--seeds 20]   all parts, off, no advice, waits at callers
     python benchmarks/storms.py parts     [--seeds 20]   each part disabled alone
     python benchmarks/storms.py guards    [--seeds 20]   parts that bring no revenue in the main case
-    python benchmarks/storms.py quiet     [--seeds 20]   runs without trouble, off and all parts
+    python benchmarks/storms.py quiet     [--seeds 20]   runs without trouble, all parts and off
     python benchmarks/storms.py seeds SCRIPT [--seeds 20]  one script with its own checks
     python benchmarks/storms.py size      [--exchanges 60]  600 calls a second for a minute
     python benchmarks/storms.py report SCRIPT FOLDER [--variant off]  one run's report, for `peattrestle plot`
     python benchmarks/storms.py cost                     microseconds for each event, by gateways and calls
 
-A part is disabled by replacing its function with one that does nothing, in this file only.
+The variant "ours" has all parts; "off" has none, and refused callers get one fixed wait. `VARIANTS` lists the
+others. A part is disabled by replacing its function with one that does nothing, in this file only.
 """
 
 from __future__ import annotations
@@ -34,15 +35,15 @@
 from peattrestle.standin.callers import service
 from peattrestle.storms import gateway_admission, retry_detection, storm_detection
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
 
 
 # Each function disables one part of the control in this process.
 
 
-def without_fresh_first() -> None:
-    """First tries get no priority over retries."""
+def without_first_try_priority() -> None:
+    """First tries get no priority over further tries that come late."""
 
     def revenue_only(self: Any, arrival: api.CallArrived, attempt: Any) -> float:
         return float(self.revenue.get(arrival.bearer_type, 1.0) / self.mean_revenue)
@@ -50,8 +51,8 @@
     control.CallRouter.relative_revenue = revenue_only  # type: ignore[method-assign]
 
 
-def without_slots() -> None:
-    """Refused callers all get the same wait, a third of the answer target."""
+def without_retry_slots() -> None:
+    """Refused callers are all advised to retry after the same time, a third of the GoS target."""
 
     def fixed_wait(self: Any, arrival: Any, attempt: Any, max_delay: int) -> int:
         return int(self.target // 3)
@@ -59,8 +60,8 @@
     control.CallRouter.retry_delay = fixed_wait  # type: ignore[method-assign]
 
 
-def without_door() -> None:
-    """Gateways are not held to their shares."""
+def without_gateway_admission() -> None:
+    """Gateways are not limited to their shares."""
     gateway_admission.Demand.set_share = lambda self, now, share: None  # type: ignore[method-assign]
 
 
@@ -69,7 +70,7 @@
     gateway_admission.GatewayAdmission.limits_to_announce = lambda self: {}  # type: ignore[method-assign]
 
 
-def without_gate() -> None:
+def without_restart_pacing() -> None:
     """Gateways may register and restart at any rate."""
     agent_storms.Storms.restart_after = lambda self, requester: 0  # type: ignore[method-assign]
     agent_storms.Storms.waiting_delay = lambda self, gateway_count: 0  # type: ignore[method-assign]
@@ -87,19 +88,20 @@
     control.Exchange.apply_list_entry = open_window  # type: ignore[method-assign]
 
 
-def without_budget() -> None:
+def without_retry_budget() -> None:
     """Each first route try allows a whole further one, not only a share of it."""
     control.CallRouter.RETRY_CREDIT = 1.0
 
 
+# By the names that the commands take and print.
 PARTS = {
-    "fresh first": without_fresh_first,
-    "slots": without_slots,
-    "door": without_door,
+    "fresh first": without_first_try_priority,
+    "slots": without_retry_slots,
+    "door": without_gateway_admission,
     "notices": without_notices,
-    "gate": without_gate,
+    "gate": without_restart_pacing,
     "slow start": without_slow_start,
-    "budget": without_budget,
+    "budget": without_retry_budget,
 }
 
 
@@ -109,15 +111,15 @@
         part()
 
 
-def no_advice() -> None:
-    """Disables all parts; refusals tell callers no wait."""
+def without_advice() -> None:
+    """Disables all parts; refused callers get no advice when to retry."""
     off()
     control.CallRouter.retry_delay = lambda self, arrival, attempt, max_delay: 0  # type: ignore[method-assign]
 
 
-def waits_at_callers() -> None:
+def with_backoff_at_callers() -> None:
     """Agents refuse without advice; callers back off by themselves, exponentially and with jitter."""
-    no_advice()
+    without_advice()
     from peattrestle.standin import callers
 
     def back_off(self: Any, call: Any, retry_after: int) -> None:
@@ -134,13 +136,13 @@
     callers.Gateway.redial = back_off  # type: ignore[method-assign]
 
 
-VARIANTS = {"off": off, "no advice": no_advice, "waits at callers": waits_at_callers} | {
+VARIANTS = {"off": off, "no advice": without_advice, "waits at callers": with_backoff_at_callers} | {
     f"without {name}": part for name, part in PARTS.items()
 }
 
 
 def load(path: str) -> scripts.Script:
-    """Reads a script. Raises ClickException with the errors and their places."""
+    """Reads a script. Raises ClickException with the errors in it and their places."""
     script, errors = scripts.load(path)
     if script is None:
         raise click.ClickException("; ".join(str(error) for error in errors))
@@ -150,8 +152,8 @@
 def play(job: tuple[str, scripts.Script]) -> dict[str, float]:
     """Plays a script with a variant and returns its measurements by label.
 
-    "most hellos/s" is the peak rate of gateway registrations for each exchange, "beside" the service of the
-    gateways that share their number with one that floods.
+    "most hellos/s" is the peak rate of gateway registrations divided by the number of exchanges, "beside" the
+    service of the gateways that share their number with one that floods, "took" the seconds that it ran.
     """
     variant, script = job
     if variant in VARIANTS:
@@ -214,7 +216,7 @@
 
 
 def play_all(jobs: list[tuple[str, scripts.Script]]) -> list[dict[str, float]]:
-    """Plays each job in a process of its own, as a variant changes the process for good."""
+    """Plays each job in a process of its own, as a variant replaces functions in its process for good."""
     with ProcessPoolExecutor(os.cpu_count() or 1, max_tasks_per_child=1) as pool:
         return list(pool.map(play, jobs))
 
@@ -224,12 +226,15 @@
     mean = statistics.mean(values)
     if len(values) < 2:
         return f"{mean:.3f}"
-    t = {5: 2.78, 10: 2.26, 20: 2.09}.get(len(values), 2.0)
+    t = {5: 2.78, 10: 2.26, 20: 2.09}.get(len(values), 2.0)  # by number of values
     return f"{mean:.3f} ±{t * statistics.stdev(values) / len(values) ** 0.5:.3f}"
 
 
-def side_by_side(script: scripts.Script, variants: list[str], seeds: int, rows: list[str]) -> None:
-    """Prints a line for each variant, with its difference in service from "ours" on the same seeds."""
+def compare_variants(script: scripts.Script, variants: list[str], seeds: int, rows: list[str]) -> None:
+    """Prints a table row for each variant, with its difference in service from "ours" on the same seeds.
+
+    `rows`: labels of the measurements to print, one column each.
+    """
     jobs = [(variant, replace(script, seed=seed)) for variant in variants for seed in range(1, seeds + 1)]
     played = play_all(jobs)
     by_variant = {
@@ -260,36 +265,36 @@
 @click.option("--seeds", default=20)
 @click.argument("paths", nargs=-1)
 def sides(seeds: int, paths: tuple[str, ...]) -> None:
-    """All parts beside off, no advice and waits at callers."""
+    """Compares all parts with off, no advice and waits at callers."""
     for path in paths or ("examples/storms/restored.hcl", "examples/storms/jam.hcl"):
-        side_by_side(load(path), ["ours", "off", "no advice", "waits at callers"], seeds, ROWS)
+        compare_variants(load(path), ["ours", "off", "no advice", "waits at callers"], seeds, ROWS)
 
 
 @cli.command()
 @click.option("--seeds", default=20)
 @click.argument("paths", nargs=-1)
 def parts(seeds: int, paths: tuple[str, ...]) -> None:
-    """All parts beside variants with one part disabled."""
+    """Compares all parts with variants that have one part disabled."""
     for path in paths or ("examples/storms/restored.hcl", "examples/storms/agents-restarted.hcl"):
         names = ["ours"] + [f"without {name}" for name in PARTS]
-        side_by_side(load(path), names, seeds, ROWS)
+        compare_variants(load(path), names, seeds, ROWS)
 
 
 @cli.command()
 @click.option("--seeds", default=20)
 def guards(seeds: int) -> None:
-    """Cases for parts that bring no revenue while gateways follow advice and none floods."""
+    """Special cases for parts that bring no revenue while gateways follow advice and none floods."""
     flood = load("examples/storms/flood.hcl")
-    side_by_side(flood, ["ours", "without door"], seeds, ["service", "beside", "dials", "rules broken"])
+    compare_variants(flood, ["ours", "without door"], seeds, ["service", "beside", "dials", "rules broken"])
     no_notices = load("examples/storms/honour-100.hcl")
     no_notices = replace(no_notices, title="no notices", callers=replace(no_notices.callers, follows=False))
     rows = ["service", "dials", "most dials/s", "rules broken"]
-    side_by_side(no_notices, ["ours", "without slots"], seeds, rows)
-    side_by_side(load("examples/storms/in-step.hcl"), ["ours", "without slots"], seeds, rows)
+    compare_variants(no_notices, ["ours", "without slots"], seeds, rows)
+    compare_variants(load("examples/storms/in-step.hcl"), ["ours", "without slots"], seeds, rows)
     reconnect = load("examples/storms/reconnect.hcl")
     fleet = replace(reconnect.fleet, gateways=200)
     reconnect = replace(reconnect, title="200 gateways an agent reconnect in 50 ms", fleet=fleet)
-    side_by_side(reconnect, ["ours", "without gate"], seeds, ["service", "most hellos/s", "rules broken"])
+    compare_variants(reconnect, ["ours", "without gate"], seeds, ["service", "most hellos/s", "rules broken"])
 
 
 @cli.command()
@@ -301,7 +306,7 @@
         steps = (scripts.Load(at=0, level=level),)
         untroubled = replace(script, title=f"no trouble, {level:.0%} of plan", trouble=(), load=steps)
         rows = ["service", "dials", "wait ms", "useful", "rules broken"]
-        side_by_side(untroubled, ["ours", "off"], seeds, rows)
+        compare_variants(untroubled, ["ours", "off"], seeds, rows)
 
 
 @cli.command("seeds")
@@ -352,14 +357,14 @@
 @cli.command()
 def cost() -> None:
     """Time that storm detection and gateway admission take for one call."""
-    for gateways, held in ((1, 0), (1, 20_000), (100, 20_000), (1000, 20_000)):
-        detector, storm_watch, admission = (
+    for gateways, remembered in ((1, 0), (1, 20_000), (100, 20_000), (1000, 20_000)):
+        detector, storm_detector, admission = (
             retry_detection.RetryDetector(9 * SECOND),
             storm_detection.StormDetector(),
             gateway_admission.GatewayAdmission(),
         )
         rng = random.Random(1)
-        for number in range(held):
+        for number in range(remembered):
             key = (f"<g{number % gateways}>", "line", 5, f"n{number}")
             detector.record_unserved(0, key, detector.classify(0, key, False, False), 500 * MS)
         events, best_seconds = 20_000, 1e9
@@ -370,14 +375,16 @@
                 name = f"<g{number % gateways}>"
                 key = (name, "line", 5, f"n{number % 40_000}")
                 attempt = detector.classify(now, key, False, False)
-                storm_watch.count_call(now, attempt)
+                storm_detector.count_call(now, attempt)
                 if not admission.admits(now, name, 1.0, rng.random()) or number % 2:
                     detector.record_unserved(now, key, attempt, 500 * MS)
                     admission.count_refused(now)
                 else:
                     admission.count_answered(now)
             best_seconds = min(best_seconds, time.perf_counter() - started)
-        click.echo(f"{gateways:5d} gateways, {held:6d} kept: {best_seconds / events * 1e6:.1f} us a call")
+        click.echo(
+            f"{gateways:5d} gateways, {remembered:6d} remembered: {best_seconds / events * 1e6:.1f} us a call"
+        )
 
 
 if __name__ == "__main__":
