--- a/peattrestle/control.py
+++ b/peattrestle/control.py
@@ -493,10 +493,11 @@
         # Nanoseconds after which an answer is late. No longer than `repeat_gap`, after which the set-up
         # message is repeated: the repeat costs the exchange work and sets up no further call.
         self.late_after = min(self.target // 2, get("repeat_gap", 0) or self.target)
+        # Nanoseconds, the longest of all bearer types.
         self.holding_time = max((int(get(f"holding:{name}", SECOND)) for name in types), default=SECOND)
         self.delays = DelayHistogram()
         self.follows_list = False
-        self.lost_setups, self.lost_halved_at = 0.0, 0
+        self.lost_setups, self.lost_halved_at = 0.0, 0  # see `recent_losses`
         self.retry_detector = RetryDetector(
             max((int(get(f"abandon_time:{name}", SECOND)) for name in types), default=SECOND)
         )
@@ -796,6 +797,7 @@
             return short_delay
         abandon_time = self.loop.settings.get(f"abandon_time:{arrival.bearer_type}", 0)
         max_delay = max(short_delay, min(max_delay, first_at + abandon_time - self.target - now))
+        # The halved weights hold the answers of 1.5 half-lives on average.
         slot_length = int(1.5 * HALF_LIFE / max(1.0, self.LATE_RETURN_SHARE * sum(self.delays.bins)))
         slot_at = max(self.next_return_slot_at, now + short_delay)
         if slot_at + slot_length > now + max_delay:
