--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -95,11 +95,11 @@
             lambda: Transactions(self.first_transaction_id, limits.open_requests, limits.kept_replies),
         )
         self.own_exchange = Requester(f"exchange {settings.number}", Transactions())
-        self.terminations: dict[str, RouteTry] = {}
-        self.links: dict[str, Link] = {}
-        self.entries: dict[str, listing.Row] = {}
+        self.terminations: dict[str, RouteTry] = {}  # by termination id
+        self.links: dict[str, Link] = {}  # by exchange
+        self.entries: dict[str, listing.Row] = {}  # the exchange list, by exchange
         self.exchange_by_number: dict[int, str] = {}
-        self.groups: dict[int, package.GroupStatus] = {}
+        self.groups: dict[int, package.GroupStatus] = {}  # by the number of the far exchange
         self.connection_count = 0
         self.tracing = settings.log_level == "debug"
         self.storms = Storms(kernel, limits, log, self.counts.add, self.requesters.known.values)
@@ -158,7 +158,7 @@
         self.kernel.spawn(self.wait_until_answered(on_drained), "drain")
 
     def wait_until_answered(self, on_drained: Callable[[], None]) -> Coroutine[None]:
-        """Ends by the latest abandon time of the open calls, since each is answered by then."""
+        """Calls `on_drained` once no call is open: each is answered by its abandon time."""
         while any(call.state == OPEN for call in self.calls.values()):
             yield from self.kernel.sleep(DRAIN_POLL_PERIOD)
         yield from self.kernel.sleep(DRAIN_POLL_PERIOD)  # time to send the last answers
@@ -173,8 +173,8 @@
 
     def wait_for_links(self) -> Coroutine[None]:
         """Waits until each link has finished its first connection attempt, at most `links.settle`."""
-        until = self.kernel.now() + self.settings.links.settle
-        while self.kernel.now() < until:
+        deadline = self.kernel.now() + self.settings.links.settle
+        while self.kernel.now() < deadline:
             if self.links and all(link.first_attempt_done for link in self.links.values()):
                 return
             yield from self.kernel.sleep(5 * MS)
@@ -201,7 +201,7 @@
             return INTERNAL_ERROR if final.own_fault else Outcome(package.FAILED, text="failed")
         cause = ""
         if call.requester is self.own_exchange:
-            # In transit the previous exchange is told what was full: this tandem, or a hop beyond it.
+            # In transit the cause tells the previous exchange what was full: this tandem, or a hop beyond it.
             cause = "beyond_full" if call.cause == "processor_full" else "turned_back"
         return Outcome(package.REFUSED, text="refused", retry_after=final.retry_after, cause=cause)
 
@@ -333,7 +333,7 @@
     def caller_left(self, call: Call) -> None:
         """Ends an open call without sending a final answer.
 
-        The transaction is closed as failed, which a repeated request is answered with.
+        A repeat of the request is answered with an error, as a failed call.
         """
         super().caller_left(call)
         call.requester.transactions.answer(
@@ -418,9 +418,9 @@
         )
 
     def on_answer_refused(self, call: Call) -> bool:
-        """Closes the call's transaction as failed, without sending the reply.
+        """Closes the transaction of a call whose final answer the guard refused, without sending a reply.
 
-        False where it had been answered already.
+        A repeat of the request is answered with an error. False where the call had been answered already.
         """
         if not call.requester.transactions.is_unanswered(call.transaction_id):
             return False
--- a/peattrestle/agent/link.py
+++ b/peattrestle/agent/link.py
@@ -32,7 +32,7 @@
 
 
 class LinkObserver(Protocol):
-    """Receives the events of links."""
+    """Receives the events of links: up, lost (with the route tries still open), and those of the session."""
 
     def on_link_up(self, link: Link) -> None: ...
     def on_link_lost(self, link: Link, route_tries: list[RouteTry], reason: str) -> None: ...
@@ -86,8 +86,8 @@
         self.rng = kernel.random_for(f"link/{exchange}")
         self.last_received_at = self.hello_sent_at = 0
         self.unanswered_audits = 0
-        self.pending_releases: deque[Release] = deque()
-        self.releases: dict[int, Release] = {}
+        self.pending_releases: deque[Release] = deque()  # wait for a connection
+        self.releases: dict[int, Release] = {}  # sent and not confirmed, by transaction id
         self.connect_requested = Event(kernel)  # set by a call that needs the link before its first attempt
         self.task = kernel.spawn(self.run(), f"link {exchange}")
 
@@ -208,7 +208,7 @@
         """Queues unconfirmed releases for the next connection, and reports the open route tries as lost."""
         self.session = self.stream = None
         route_tries = [
-            sent_for for sent_for in self.transactions.close_all() if isinstance(sent_for, RouteTry)
+            attachment for attachment in self.transactions.close_all() if isinstance(attachment, RouteTry)
         ]
         for release in self.releases.values():
             if release.timer is not None:
--- a/peattrestle/agent/listing.py
+++ b/peattrestle/agent/listing.py
@@ -73,7 +73,7 @@
         self.data = b""
 
     def load(self) -> bytes:
-        """The saved data, empty where there is none."""
+        """The saved data, empty where there is none or it can't be read."""
         return self.data
 
     def save(self, data: bytes) -> None:
--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -90,7 +90,7 @@
             )
 
     def send_notices(self, notices: dict[str, Notice]) -> None:
-        """Sends each connected gateway its notice."""
+        """Sends each connected gateway its notice; `notices` is by gateway name."""
         if not notices:
             return
         for requester in self.gateways():
--- a/tests/agent/test_bounds.py
+++ b/tests/agent/test_bounds.py
@@ -19,8 +19,8 @@
 from peattrestle.runtime.virtual import Network, VirtualKernel
 from peattrestle.settings.agent import Limits
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
 SCRIPT = Script(
     length=SECOND, fleet=Fleet(exchanges=2, regions=("a",), no_group=0.0), bearer=(Bearer(label="line"),)
 )
@@ -41,6 +41,7 @@
         self.events: list[SessionEvent] = []
 
     def gateway(self, name: str = "g0", first_transaction_id: int = 1) -> Coroutine[tuple[Session, Stream]]:
+        """Connects a gateway and registers it; its calls and replies go over the session returned."""
         stream = yield from self.kernel.connect("127.0.0.1:2944", SECOND, name)
         session = Session(f"<{name}>", Transactions(first_transaction_id), stream.write)
         session.request(
@@ -49,14 +50,17 @@
         return session, stream
 
     def listen(self, session: Session, stream: Stream) -> Coroutine[None]:
+        """Collects what a gateway receives in `events` until its connection ends."""
         while data := (yield from stream.read()):
             self.events += session.feed(self.kernel.now(), data)
 
     def call(self, session: Session, number: int) -> None:
+        """Sends a set-up to the second exchange; `number` identifies the call in `answers`."""
         request = SetUpRequest(f"c/{number}", "line", 1, 3 * SECOND, reference=f"g0/{number}")
         session.request(number, lambda transaction_id: package.add_text(transaction_id, request))
 
     def run(self, body: Coroutine[Any]) -> Any:
+        """Runs `body` for up to 20 s of virtual time, by when it must have ended; raises its error."""
         task = self.kernel.spawn(body, "test", report_errors=False)
         self.kernel.run(self.kernel.now() + 20 * SECOND)
         assert task.done
@@ -65,6 +69,7 @@
         return task.result
 
     def answers(self) -> dict[int, tuple[int, int]]:
+        """Error code (0: established) and retry advice in nanoseconds of each answer, by call number."""
         outcomes = {}
         for event in self.events:
             if isinstance(event, ReplyReceived) and isinstance(event.attachment, int):
@@ -143,8 +148,8 @@
         yield from harness.kernel.sleep(SECOND)
         session, stream = yield from harness.gateway()
         harness.kernel.spawn(harness.listen(session, stream), "listen")
-        stranger = yield from harness.kernel.connect("127.0.0.1:2944", SECOND)
-        stranger.write(garbage)
+        garbage_stream = yield from harness.kernel.connect("127.0.0.1:2944", SECOND)
+        garbage_stream.write(garbage)
         harness.call(session, 1)
         yield from harness.kernel.sleep(2 * SECOND)
 
@@ -188,7 +193,7 @@
 
 
 @pytest.mark.parametrize("side", ["exchange", "gateway"])
-@pytest.mark.parametrize("state", ["asked", "out", "stands", "releasing"])
+@pytest.mark.parametrize("state", ["sent", "out", "stands", "releasing"])
 def test_a_connection_reset_in_each_state_of_a_call(side: str, state: str) -> None:
     """At most one final answer, none to a gateway that has gone, and no circuit or call left at the end."""
     harness = AgentHarness(Limits())
@@ -207,7 +212,7 @@
         harness.kernel.spawn(harness.listen(session, stream), "listen", report_errors=False)
         yield from harness.kernel.sleep(20 * MS)
         harness.call(session, 1)
-        if state == "asked":
+        if state == "sent":  # and perhaps not yet received by the agent
             reset(stream)
         elif state == "out":
             yield from harness.kernel.sleep(10 * MS)
@@ -221,9 +226,8 @@
         if state in ("stands", "releasing"):
             reset(stream)
         yield from harness.kernel.sleep(SECOND)
-        new_session, new_stream = yield from harness.gateway(
-            first_transaction_id=1000
-        )  # restarted without its calls
+        # The gateway comes back without its calls, as after a restart.
+        new_session, new_stream = yield from harness.gateway(first_transaction_id=1000)
         harness.kernel.spawn(harness.listen(new_session, new_stream), "listen", report_errors=False)
         yield from harness.kernel.sleep(3 * SECOND)
 
@@ -231,7 +235,7 @@
     answers = [
         event for event in harness.events if isinstance(event, ReplyReceived) and event.attachment == 1
     ]
-    expected = {"gateway": {"asked": 0, "out": 0}}.get(side, {}).get(state, 1)
+    expected = {"gateway": {"sent": 0, "out": 0}}.get(side, {}).get(state, 1)
     assert len(answers) == expected
     assert harness.agent.calls == {} and harness.agent.terminations == {}
     assert not exchange.agents["a0"].calls and harness.world.network.leaks() == 0
--- a/tests/agent/test_guard.py
+++ b/tests/agent/test_guard.py
@@ -8,10 +8,11 @@
 
 from peattrestle.calls.guard import Guard
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 
 
 def make_guard() -> Guard:
+    """A guard that knows two ready exchanges, and call 1 with an abandon time of 5 s."""
     guard = Guard(250 * MS, 300 * MS, 1000 * MS, 2.0, 14_000 * MS)
     guard.on_exchange_state(0, "x1", "ready", 0)
     guard.on_exchange_state(0, "x2", "ready", 0)
@@ -53,7 +54,9 @@
         ("", lambda guard: guard.on_try_ended(5 * MS, 1, False), 6, "x1"),
     ],
 )
-def test_set_ups(rule: str, before: Callable[[Guard], object], at: int, exchange: str) -> None:
+def test_a_set_up_is_refused_exactly_when_it_breaks_a_rule(
+    rule: str, before: Callable[[Guard], object], at: int, exchange: str
+) -> None:
     guard = make_guard()
     before(guard)
     violation = guard.check_set_up(at * MS, 1, exchange)
@@ -62,7 +65,7 @@
 
 
 @pytest.mark.parametrize(("at", "times", "refused"), [(10, 1, 0), (10, 2, 1), (5000, 1, 0), (5001, 1, 1)])
-def test_answers(at: int, times: int, refused: int) -> None:
+def test_a_second_answer_or_one_after_the_abandon_time_is_refused(at: int, times: int, refused: int) -> None:
     guard = make_guard()
     for _ in range(times):
         guard.check_answer(at * MS, 1)
--- a/tests/agent/test_listing.py
+++ b/tests/agent/test_listing.py
@@ -22,14 +22,14 @@
         b"\xff\xfe",
     ],
 )
-def test_bad_lines(line: bytes) -> None:
+def test_an_invalid_line_is_rejected(line: bytes) -> None:
     with pytest.raises(BadLine):
         read_line(line)
 
 
 @pytest.mark.parametrize(
     ("age", "elapsed", "expected"),
-    [(5, 10, 15), (-1, 10, -1), (5, -10, -1), (5, 86_400_000_000_001, -1)],  # the clock was reset
+    [(5, 10, 15), (-1, 10, -1), (5, -10, -1), (5, 86_400_000_000_001, -1)],  # clock reset; over a day
 )
 def test_the_saved_list_ages(age: int, elapsed: int, expected: int) -> None:
     rows = unpack(1000 + elapsed, pack(1000, [Row("x1", 1, "ready", "127.0.0.1:1", "", age)]))
