--- a/peattrestle/h248/package.py
+++ b/peattrestle/h248/package.py
@@ -18,11 +18,7 @@
 PROFILE = "peattrestle/1"
 # Error codes of H.248.8 that the call path uses.
 REFUSED, FAILED = 510, 530  # insufficient resources; temporary network failure
-UNKNOWN_TERMINATION, UNKNOWN_CONTEXT, ALREADY_IN_CONTEXT = (
-    430,
-    411,
-    433,
-)  # ALREADY_IN_CONTEXT: the termination is already in a context
+UNKNOWN_TERMINATION, UNKNOWN_CONTEXT, ALREADY_IN_CONTEXT = 430, 411, 433
 BAD_VALUE = 449  # unsupported or unknown parameter value
 # Causes of a refusal, the values of `ptc/cau`.
 CAUSES = frozenset({"no_circuit", "turned_back", "beyond_full", "processor_full", "lines_busy"})
@@ -228,7 +224,7 @@
 def subtract_text(transaction_id: int, context: str, termination: str) -> str:
     """A request that releases a termination.
 
-    Context `*` where the requester has not learned it: the termination's name, which it chose, is enough.
+    `context`: `*` where the requester does not know it yet; the termination, which it named, is enough.
     """
     return f"Transaction={transaction_id}{{Context={context}{{Subtract={quoted(termination)}}}}}"
 
@@ -263,7 +259,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GroupStatus:
-    """Free circuits and circuits in all of the trunk group to exchange number `to`."""
+    """The circuits of the trunk group to exchange number `to`: those that are free, and all (`size`)."""
 
     to: int
     free: int
@@ -348,7 +344,7 @@
 
 
 def reply_error_code(reply: Reply) -> int:
-    """The error code of the reply to a request with one command; 0 for success."""
+    """The error code of the reply to a request with one command; 0 for success, 500 for an empty reply."""
     if reply.error is not None:
         return reply.error[0]
     first = first_command(reply.actions)
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -91,7 +91,7 @@
         return events
 
     def peek(self, data: bytes) -> list[text.Message]:
-        """The messages that `data` completes, without handling them, once the session has ended.
+        """The messages that `data` completes, without handling them; for data left when a session has ended.
 
         Raises ProtocolViolation and Malformed.
         """
--- a/peattrestle/h248/text.py
+++ b/peattrestle/h248/text.py
@@ -288,7 +288,7 @@
 
 
 def malformed_at(text: str, offset: int, code: int, expected: str, found: str) -> Malformed:
-    """The error at `offset` of the text, in the transaction that the last id before it names."""
+    """The error at `offset` of the text; its transaction is that of the last transaction id before it."""
     line = text.count("\n", 0, offset) + 1
     column = offset - (text.rfind("\n", 0, offset) + 1) + 1
     id_match = re.search(r"(?<![\w/])(?:transaction|t)\s*=\s*(\d{1,10})(?!\d)", text[:offset], re.IGNORECASE)
@@ -527,7 +527,10 @@
 
 
 def quoted(value: str) -> str:
-    """The value as written: bare where all its characters are safe, else in quotes. Raises ValueError."""
+    """The value, in quotes unless all its characters are safe.
+
+    Raises ValueError for a quote or a control character.
+    """
     if _SAFE.fullmatch(value):
         return value
     if _UNQUOTABLE.search(value):
--- a/peattrestle/h248/transactions.py
+++ b/peattrestle/h248/transactions.py
@@ -2,7 +2,7 @@
 
 One `Transactions` serves one peer, over all its connections. Replies are kept for the long timer, so that a
 repeated request, also over a new connection, gets the same reply and is carried out only once. Text to send
-is returned, never written; times are nanoseconds given by the caller.
+is returned, never written; times are nanoseconds passed in as `now`.
 
 Limits, and what happens there: open requests (`TooManyOpenRequests` is raised); kept replies (the oldest is
 evicted, and its request, if repeated after that, is carried out again, so the limit is far above what one
@@ -19,7 +19,7 @@
 
 SECOND = 1_000_000_000  # nanoseconds
 LONG_TIMER = 30 * SECOND  # nanoseconds; H.248.1 D.1.1: how long a reply is kept for a repeated request
-MAX_ID = (1 << 32) - 1
+MAX_ID = (1 << 32) - 1  # of a transaction
 
 
 class TooManyOpenRequests(Exception):
@@ -30,7 +30,8 @@
 class ServedRequest:
     """A request received from the peer.
 
-    `reply` is None while it is carried out, and empty once the peer has acknowledged the reply.
+    `received_at`: in nanoseconds. `reply` is None while it is carried out, and empty once the peer has
+    acknowledged the reply.
     """
 
     received_at: int
@@ -112,7 +113,7 @@
         return transaction_id
 
     def close(self, transaction_id: int) -> None:
-        """Closes an open request; a later reply to it is a `UnknownTransaction`."""
+        """Closes an open request; a later reply to it is an `UnknownTransaction`."""
         self.open.pop(transaction_id, None)
 
     def close_all(self) -> list[Any]:
@@ -121,7 +122,10 @@
         return attachments
 
     def acks(self) -> str:
-        """The acknowledgements of received replies, to prepend to the next message; empty below 32."""
+        """The acknowledgements of received replies, to prepend to the next message.
+
+        Empty while there are fewer than 32.
+        """
         if len(self._acks) < 32:
             return ""
         ranges: list[list[int]] = []
@@ -181,7 +185,10 @@
         return DuplicateRequest(served.reply) if served.reply else None
 
     def answer(self, transaction_id: int, reply: str) -> None:
-        """Keeps the reply that the caller sends. Raises KeyError where the request has a reply already."""
+        """Keeps the reply for a repeat of the request; it is sent elsewhere.
+
+        Raises KeyError where the request has a reply already.
+        """
         served = self.received_requests.get(transaction_id)
         if served is None:
             return  # the long timer has passed: the reply need not be kept
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -36,12 +36,12 @@
     "data",
     [b"GET / HTTP", b"\x03\x01\x00\x08", b"\x03\x00\x00\x04", b"\x03\x00\x00\x00", b"\x03\x00\xff\xff"],
 )
-def test_bad_frames(data: bytes) -> None:
+def test_an_invalid_frame_is_rejected(data: bytes) -> None:
     with pytest.raises(BadFrame):
         Framer(100).feed(data)
 
 
-def test_frame_length_by_hand() -> None:
+def test_the_frame_length_counts_the_header() -> None:
     assert frame(b"abc") == b"\x03\x00\x00\x07abc"
     with pytest.raises(ValueError):
         frame(b"x" * 65532)
@@ -82,7 +82,7 @@
     assert peer.receive(0, text.Reply(ids[1])) == UnknownTransaction(ids[1])
 
 
-def test_limits_of_transactions() -> None:
+def test_open_requests_and_kept_replies_are_limited() -> None:
     peer = Transactions(max_open_requests=2, max_kept_replies=3)
     peer.begin(None)
     peer.begin(None)
@@ -177,7 +177,7 @@
         ("ptc/via", "9" * 30, "ptc/via"),
     ],
 )
-def test_bad_values_of_a_set_up(name: str, value: str | None, error: str) -> None:
+def test_a_missing_or_invalid_value_of_a_set_up_is_named(name: str, value: str | None, error: str) -> None:
     items = {"ptc/brt": "line", "ptc/dst": "1", "ptc/abn": "5"} | ({name: value} if value is not None else {})
     if value is None:
         del items[name]
--- a/tests/h248/test_text.py
+++ b/tests/h248/test_text.py
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize(("data", "message"), VECTORS)
-def test_vectors(data: bytes, message: Message) -> None:
+def test_hand_written_messages_parse_and_read_back(data: bytes, message: Message) -> None:
     def plain(message: Message) -> str:
         return repr(message)
 
@@ -192,7 +192,7 @@
         b"MEGACO/1 <a> " + b";\n" * 8000,
     ],
 )
-def test_size_limits(data: bytes) -> None:
+def test_messages_beyond_a_size_limit_are_malformed(data: bytes) -> None:
     with pytest.raises(Malformed):
         text.parse(data)
 
