--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -15,7 +15,7 @@
 from peattrestle.standin.record import Record
 from peattrestle.standin.registry_list_source import RegistryListSource
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # nanoseconds
 
 
 class World:
@@ -65,7 +65,7 @@
             )
             for bearer in script.bearer
         ]
-        self.weights = self._plan(count)
+        self.weights = self._plan(count)  # by exchange: share of its calls by destination
         for number in range(count):
             self.network.regions[number] = fleet.regions[number % len(fleet.regions)]
         source = RegistryListSource if fleet.registry else ListSource
@@ -91,14 +91,15 @@
         )
         self.gateways: list[Gateway] = []
         self.behaviour = behaviour
-        self.level = 1.0
-        self.surges: dict[str, tuple[set[int], float]] = {}
+        self.level = 1.0  # load as a multiple of the plan
+        self.surges: dict[str, tuple[set[int], float]] = {}  # exchanges concerned, and the factor
         self.offered = 0
 
     def _plan(self, count: int) -> list[dict[int, float]]:
         """Draws the traffic between exchanges, and adds trunk groups for it.
 
-        Groups have some spare circuits; the pairs with the least traffic have no group.
+        Groups have some spare circuits; the pairs with the least traffic have no group. Returns for each
+        exchange the share of its calls by destination.
         """
         fleet, draw = self.script.fleet, self.kernel.random_for("plan")
         weights: list[dict[int, float]] = []
@@ -167,10 +168,10 @@
 
     def add_gateways(self, number: int, address: str) -> None:
         """Starts the gateways of an exchange, connected to the agent at `address`."""
-        for place in range(self.script.fleet.gateways):
+        for index in range(self.script.fleet.gateways):
             traffic = Traffic(0.0, self.weights[number], self.bearers, self.behaviour)
             self.gateways.append(
-                Gateway(self.kernel, self.record, number, f"a{number}", lambda: address, traffic, place)
+                Gateway(self.kernel, self.record, number, f"a{number}", lambda: address, traffic, index)
             )
 
     def set_rates(self) -> None:
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -21,8 +21,8 @@
 )
 from peattrestle.standin.record import Record
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
 
 
 @dataclass(slots=True)
@@ -65,10 +65,10 @@
 
     patience_least: float = 0.30  # of the bearer type's abandon time
     patience_most: float = 0.40
-    redials: int = 2
-    redial_least: int = 300 * MS
+    redials: int = 2  # further attempts of a call
+    redial_least: int = 300 * MS  # wait before such an attempt
     redial_most: int = 1200 * MS
-    honours: float = 0.7  # share of refusals whose come-back time is respected
+    honours: float = 0.7  # share of refusals whose advice on when to retry is followed
     marks: bool = True  # further attempts carry ptc/rpt
     repeats: float = 0.0  # share of requests that the gateway sends twice
     leaves_early: float = 0.0  # share of attempts given up long before the abandon time
@@ -76,7 +76,7 @@
     return_most: int = 2600 * MS
     restart_least: int = 50 * MS  # wait of a gateway before it reconnects
     restart_most: int = 250 * MS
-    avalanche: bool = True  # and also a random part of the agent's waiting delay, until a caller dials
+    avalanche: bool = True  # plus a random part of the agent's announced delay, cut short by a call
     follows: bool = True  # gateways respect rate notices
 
 
@@ -132,7 +132,7 @@
             )
 
     def admits(self, now: int, max_level: float) -> bool:
-        """Whether a call may be sent now; `max_level`: how full the bucket may be before it."""
+        """Whether a call may be sent now; `max_level`: how many calls it may hold before."""
         if now >= self.valid_until:
             return True
         self.level = max(0.0, self.level - self.rate * (now - self.updated_at) / SECOND)
@@ -146,8 +146,8 @@
 class Gateway:
     """A gateway with its callers, connected to one agent.
 
-    `number`: its exchange. `address`: gives the agent's address for each connection. `place`: index among the
-    gateways of that exchange.
+    `number`: its exchange. `address`: gives the agent's address for each connection. `index`: its index among
+    the gateways of that exchange.
     """
 
     def __init__(
@@ -158,11 +158,11 @@
         agent: str,
         address: Callable[[], str],
         traffic: Traffic,
-        place: int = 0,
+        index: int = 0,
     ) -> None:
         self.kernel, self.record, self.number, self.agent = kernel, record, number, agent
         self.address, self.traffic = address, traffic
-        self.label = f"{number}" + (f".{place}" if place else "")
+        self.label = f"{number}" + (f".{index}" if index else "")
         self.name = f"gateway {self.label}"
         self.mid = f"<g{self.label}>"  # H.248 message identifier
         self.draw = kernel.random_for(self.name)
@@ -171,7 +171,7 @@
         self.stream: Stream | None = None
         self.ready = False
         self.agent_run = ""
-        self.attempts: dict[str, Attempt] = {}
+        self.attempts: dict[str, Attempt] = {}  # by termination id
         self.terminations: dict[int, str] = {}  # by transaction id, to recognise a second answer
         self.pending_releases: list[str] = []  # calls to release once connected again
         self.calls: list[CallerCall] = []
@@ -250,7 +250,7 @@
         )
 
     def register_later(self, session: Session, wait: int) -> None:
-        """Registers again after `wait`, as the agent demanded, if the connection is still the same."""
+        """Registers again after `wait` nanoseconds, as the agent asked, unless the connection has changed."""
         self.count("restarts_held_back")
         self.kernel.call_at(
             self.kernel.now() + wait,
@@ -396,7 +396,7 @@
         attempt.timer = self.kernel.call_at(now + give_up_after, lambda: self.abandon(attempt))
 
     def max_bucket_level(self, call: CallerCall) -> float:
-        """How full the bucket may be for this call: late calls may not use the burst allowance."""
+        """How many calls the bucket may hold before this one: late calls may not use the burst allowance."""
         is_late = self.kernel.now() - call.first_at > self.bearer(call).gos_target
         return 0.0 if is_late else 2.0
 
@@ -528,7 +528,7 @@
             wait = retry_after
         if self.kernel.now() + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
-                call.tries += 1  # an attempt without a connection counts too, so that they come to an end
+                call.tries += 1  # an attempt without a connection counts too, so that redialling ends
             self.kernel.call_at(
                 self.kernel.now() + wait, lambda: None if self.is_closing else self.dial(call, call.cut)
             )
@@ -559,7 +559,7 @@
 
 
 def service(gateways: list[Gateway], since: int = 0, until: int = 1 << 62) -> Service:
-    """Service of the calls that began in [`since`, `until`); see `Gateway.earned_revenue`."""
+    """Service of the calls that began in [`since`, `until`), in nanoseconds; see `Gateway.earned_revenue`."""
     total = Service()
     for gateway in gateways:
         for call in gateway.calls:
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -59,7 +59,7 @@
         self.peer: AgentPeer | None = None
         self.blocked_output: list[bytes] = []  # held back while a region is cut off
         self.delayed_input: list[tuple[int, bytes]] = []  # (received at, data), likewise held back
-        self.write_until = 0
+        self.write_until = 0  # when the last of the bytes sent one at a time is written
         self.uncertain_until = 0  # data read before this may have waited unread in the socket
         self.session = Session(exchange.mid, Transactions(), self.write, bind=self.bind)
 
@@ -156,7 +156,7 @@
         elif socket_faults.single_bytes or self.write_until > exchange.kernel.now():
             send_at = max(self.write_until, exchange.kernel.now())
             for offset in range(len(data)):
-                send_at += 20_000
+                send_at += 20_000  # nanoseconds between two bytes
                 exchange.kernel.call_at(send_at, partial(self.stream.write, data[offset : offset + 1]))
             self.write_until = send_at  # later messages must not overtake these bytes
         else:
@@ -255,7 +255,7 @@
             self.processor.restart(cold=True)
         self.agents: dict[str, AgentPeer] = {}
         self.connections: dict[Connection, None] = {}  # a dict, as the order of a set differs between runs
-        self.contexts = 0
+        self.contexts = 0  # number of the last context
         self.onward_count = 0
         self.onward_calls: dict[str, tuple[AgentPeer, ExchangeCall]] = {}
         self.stopped = False
@@ -295,8 +295,9 @@
         )
 
     def record_failure(self, senders: list[str]) -> None:
-        """Records that the cold processor failed under load; `senders` are the agents of that window's set-
-        ups.
+        """Records that the cold processor failed under load.
+
+        `senders`: '<agent>@<time>' of each set-up in the window that is measured.
         """
         self.network.record.add(
             self.kernel.now(), "fell", self.name, "", value=self.started_at, text=" ".join(senders)
--- a/peattrestle/standin/exchange_network.py
+++ b/peattrestle/standin/exchange_network.py
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class ProcessorSettings:
-    """Settings of an exchange's processor: work in nanoseconds at full speed, and the cold start rules.
+    """Settings of an exchange's processor: work in nanoseconds at full speed, and the rules of a cold start.
 
     `routing_work`, `set_up_work`, `answer_work` and `release_work` are the work of each step of a call; the
     other fields are described at `Processor`.
@@ -67,7 +67,7 @@
         self.regions: dict[int, str] = {}
         self.cut_regions: set[str] = set()
         self.line_limits: dict[str, int] = {}  # lines of each number called that has few
-        self.busy_lines: dict[str, int] = {}
+        self.busy_lines: dict[str, int] = {}  # lines in use of those numbers
         self.answers_lost = 0.0  # share of set-up answers that are lost
         self.on_heal: list[Callable[[], None]] = []  # run once when a region cut ends
         self.changed_groups: list[tuple[int, int]] = []  # by their ends, not yet reported
@@ -126,7 +126,7 @@
         )
 
     def heal(self) -> None:
-        """Delivers what was held back when a region cut ends."""
+        """Delivers, at the end of a region cut, what was held back during it."""
         callbacks, self.on_heal = self.on_heal, []
         for callback in callbacks:
             callback()
--- a/peattrestle/standin/list_source.py
+++ b/peattrestle/standin/list_source.py
@@ -12,8 +12,8 @@
 class ListSource:
     """Serves the exchange list to agents as JSON lines.
 
-    It knows only whether an exchange runs. `min_delay`, `max_delay`: bounds in nanoseconds of the random
-    delay with which each agent learns of a change.
+    An exchange that runs and answers nothing stays listed as ready. `min_delay`, `max_delay`: bounds in
+    nanoseconds of the random delay with which each agent learns of a change.
     """
 
     def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
--- a/peattrestle/standin/processor.py
+++ b/peattrestle/standin/processor.py
@@ -7,7 +7,7 @@
 
 from peattrestle.runtime import Kernel
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # nanoseconds
 
 
 class Processor:
@@ -50,9 +50,9 @@
         self._urgent: deque[tuple[int, Callable[[], None]]] = deque()
         self._waiting_work = 0
         self._busy = False
-        self._recent: deque[tuple[int, str]] = deque()
+        self._recent: deque[tuple[int, str]] = deque()  # time and sender of set-ups within `fall_time`
         self.on_failure: Callable[[list[str]], None] = lambda senders: None
-        self._generation = 0
+        self._generation = 0  # counts restarts: work begun before the last one is dropped
 
     def speed(self) -> float:
         """Present speed as a share of full speed, by how long ago the cold start was."""
@@ -102,14 +102,14 @@
             return False
         self._setups.append((work, done))
         self._waiting_work += work
-        self._next()
+        self._start_next()
         return True
 
     def submit_urgent(self, work: int, done: Callable[[], None]) -> None:
         """Queues an answer or a release."""
         (self._urgent if self.urgent_first else self._setups).append((work, done))
         self._waiting_work += work
-        self._next()
+        self._start_next()
 
     def _track_cold_load(self, sender: str) -> None:
         """Measures the load of a cold processor, and makes it fail above the limit."""
@@ -128,7 +128,7 @@
             self.failed = True
             self.on_failure([f"{name}@{at}" for at, name in self._recent])
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         """Starts the next piece of work, if idle."""
         if self._busy or self.silent or self.failed:
             return
@@ -151,11 +151,11 @@
             self.completed_work += work
             if not self.failed:
                 done()
-            self._next()
+            self._start_next()
 
         self.kernel.call_at(self.kernel.now() + duration, finished)
 
     def resume(self) -> None:
         """Resumes work after silence that did not end in a restart."""
         self.silent = False
-        self._next()
+        self._start_next()
--- a/peattrestle/standin/record.py
+++ b/peattrestle/standin/record.py
@@ -28,7 +28,7 @@
     - lost: a connection to an agent ended
     - told: an agent was sent the state of an exchange
     - killed: an agent was killed
-    - fell: a cold processor failed under load; `value` is its start, `text` the agents that sent set-ups
+    - fell: a cold processor failed under load; `value` is its start, `text` lists '<agent>@<time>' of set-ups
     - pressure: load of a cold processor; `code` is the peak in thousandths of the limit, `value` the set-ups
     """
 
--- a/peattrestle/standin/registry.py
+++ b/peattrestle/standin/registry.py
@@ -1,6 +1,6 @@
 """A simulated registry that speaks etcd's JSON gateway: revisions, history, watches, compaction and faults.
 
-It is built from bytes and JSON alone and shares nothing with the client but the kernel.
+It is built from bytes and JSON alone, and shares no code with the client that it tests but the kernel.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 
 
 @dataclass(slots=True)
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -13,7 +13,10 @@
 
 
 class RegistryListSource:
-    """A replacement for `ListSource`: changes reach the registry late, and agents at once."""
+    """A replacement for `ListSource`: changes reach the registry late, and agents at once.
+
+    `min_delay`, `max_delay`: bounds in nanoseconds of the random delay before a change is written.
+    """
 
     def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
         self.kernel, self.record = kernel, record
@@ -24,7 +27,7 @@
         self.registry = SimulatedRegistry(kernel, address)
         self.registry.on_sent = self.record_sent
         self.address = self.registry.address
-        self._last_change: dict[str, int] = {}
+        self._last_change: dict[str, int] = {}  # time of the last write, by exchange
 
     def set_state(self, exchange: SimulatedExchange, state: str) -> None:
         """Sets the state of an exchange in the registry, after a random delay if it is known already."""
