--- a/peattrestle/rehearsal/judge.py
+++ b/peattrestle/rehearsal/judge.py
@@ -15,8 +15,8 @@
 
 from peattrestle.standin.record import Row
 
-MS = 1_000_000
-MAX_BREACHES = 20
+MS = 1_000_000  # nanoseconds
+MAX_BREACHES = 20  # kept of each rule; further ones are only counted
 
 
 @dataclass(slots=True)
--- a/peattrestle/rehearsal/nights.py
+++ b/peattrestle/rehearsal/nights.py
@@ -12,8 +12,8 @@
 from peattrestle.rehearsal.script import KINDS, Bearer, Callers, Fleet, Load, Script, Trouble
 from peattrestle.settings.agent import Rules
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
 # Ranges of `figure`, whose meaning depends on the kind, where 0 to 0.5 would be too mild or invalid.
 FIGURE_RANGES = {
     "slow": (1.5, 4.0),
@@ -100,6 +100,7 @@
     # A short night may have nothing to examine for a rule; callers check the sum over all nights.
     faults = [f"{verdict.rule}: {verdict.breaches[0].text}" for verdict in result.verdicts if verdict.broken]
     faults += [f"{check.name}: {check.text}" for check in result.checks if not check.passed]
+    # Agents that lost calls or were killed are not compared: with none left to compare, that is no fault.
     if result.callers.get("dropped", 0) or result.troubles.get("kill_agent", 0):
         faults = [fault for fault in faults if not fault.startswith("counts equal: 0 of")]
     examined = {verdict.rule: verdict.examined for verdict in result.verdicts}
--- a/peattrestle/rehearsal/play.py
+++ b/peattrestle/rehearsal/play.py
@@ -22,8 +22,8 @@
 from peattrestle.runtime.virtual import VirtualKernel
 from peattrestle.standin.callers import service
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
 
 
 class CouldNotRun(Exception):
--- a/peattrestle/rehearsal/report.py
+++ b/peattrestle/rehearsal/report.py
@@ -9,7 +9,7 @@
 
 from peattrestle.rehearsal.play import Result
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 
 
 def table(result: Result) -> str:
--- a/peattrestle/rehearsal/series.py
+++ b/peattrestle/rehearsal/series.py
@@ -9,7 +9,7 @@
 from peattrestle.runtime import Coroutine
 from peattrestle.standin.callers import Gateway
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # nanoseconds
 
 
 @dataclass(slots=True)
@@ -43,14 +43,14 @@
         total = sum(weight for _, weight in pairs)
         return sum(value * weight for value, weight in pairs) / total if total else -1.0
 
-    def recovery_seconds(self, before: float, share: float, healed: int, span: int) -> int:
-        """Seconds from `healed` until service is back, or -1 if it never is.
+    def recovery_seconds(self, service_before: float, share: float, ended: int, span: int) -> int:
+        """Seconds from second `ended` until service is back, or -1 if it never is.
 
-        It is back at the first of `span` seconds that together have at least `share` of the service `before`.
+        It is back at the first of `span` seconds that together have at least `share` of `service_before`.
         """
-        for at in range(healed, len(self.service) - span + 1):
-            if self.mean_service(at, at + span) >= share * before:
-                return at - healed
+        for at in range(ended, len(self.service) - span + 1):
+            if self.mean_service(at, at + span) >= share * service_before:
+                return at - ended
         return -1
 
 
@@ -59,7 +59,7 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.samples: list[tuple[float, float, float]] = []
+        self.samples: list[tuple[float, float, float]] = []  # wait in ms, peak load, completed work
         self._set_ups_received: dict[str, int] = {}
         self._completed_work = 0
 
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -10,12 +10,12 @@
 from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine
 from peattrestle.standin.exchange import SimulatedExchange
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
 
 
 class Hosts(Protocol):
-    """Starts and kills the agents."""
+    """Starts and kills the agents, by number; `address` is the callers' address of one."""
 
     def kill(self, number: int) -> None: ...
     def start(self, number: int) -> None: ...
@@ -35,7 +35,7 @@
         self.begun: dict[str, int] = {}
 
     def schedule(self, troubles: tuple[Trouble, ...], started: int) -> None:
-        """Schedules `troubles`, whose times count from `started`."""
+        """Schedules `troubles`, whose times count from `started`, a time of the kernel in nanoseconds."""
         for trouble in troubles:
             self.kernel.call_at(started + trouble.at, lambda trouble=trouble: self.begin(trouble))  # type: ignore[misc]
 
--- a/tests/rehearsal/test_judge.py
+++ b/tests/rehearsal/test_judge.py
@@ -18,8 +18,8 @@
 from peattrestle.rehearsal.script import Bearer, Callers, Fleet, Script, Trouble
 from peattrestle.settings.agent import Rules
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
 
 SCRIPT = Script(
     title="for the judge",
@@ -116,6 +116,8 @@
 
 
 def play(fault: str, troubles: tuple[Trouble, ...], guarded: bool = False, **changes: Any) -> Result:
+    """Plays the script, with `changes`, against agents with the fault."""
+
     class ConfiguredAgent(FaultyAgent):
         pass
 
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -12,8 +12,8 @@
 from peattrestle.rehearsal.play import play
 from peattrestle.rehearsal.script import KINDS, Bearer, Fleet, Script, Trouble
 
-MS = 1_000_000
-SECOND = 1_000_000_000
+MS = 1_000_000  # nanoseconds
+SECOND = 1_000_000_000  # nanoseconds
 
 
 def test_two_hundred_random_nights() -> None:
--- a/tests/rehearsal/test_storms.py
+++ b/tests/rehearsal/test_storms.py
@@ -18,6 +18,7 @@
 
 
 def faults(path: Path) -> list[str]:
+    """The broken rules and failed checks of a script, played on the virtual kernel."""
     loaded, problems = script.load(str(path))
     assert loaded is not None, problems
     result = Player(loaded, "virtual").play()
