--- a/peattrestle/exchangeline/lines.py
+++ b/peattrestle/exchangeline/lines.py
@@ -11,7 +11,7 @@
 MAX_LINE_BYTES = 16_384
 
 # Q.850 causes; 102 is recovery on timer expiry.
-NORMAL, BUSY, FULL, RESET, OUT_OF_ORDER, MOOT = 16, 17, 34, 41, 47, 102
+NORMAL, BUSY, FULL, RESET, OUT_OF_ORDER, TIMER_EXPIRED = 16, 17, 34, 41, 47, 102
 ERROR_CAUSES = (BUSY, OUT_OF_ORDER)
 
 
@@ -20,7 +20,10 @@
 
 
 class Line(msgspec.Struct, gc=False):
-    """One line; `rc` is the cause, `blob` the description. Absent fields have their defaults."""
+    """One line; `verb` is its type, `tag` the call's id, `rc` the cause, `blob` the description.
+
+    Absent fields have their defaults.
+    """
 
     verb: str
     tag: str = ""
@@ -38,7 +41,7 @@
 
     def __init__(self) -> None:
         self._buffer = b""
-        self._position = 0
+        self._position = 0  # of the next line in the buffer
 
     def feed(self, data: bytes) -> None:
         """Appends received bytes to the buffer."""
@@ -88,7 +91,7 @@
 def parse_report(text: str | int | float) -> dict[str, float]:
     """Parses a load report such as 'x0:12;x1:40' into values by name. Raises BadLine."""
     if not isinstance(text, str):
-        raise BadLine("load report: not a string")
+        raise BadLine(f"load report: {text!r} is not a string")
     values: dict[str, float] = {}
     if not text:
         return values
--- a/peattrestle/platform/mapping.py
+++ b/peattrestle/platform/mapping.py
@@ -6,7 +6,7 @@
 from peattrestle.exchangeline import lines
 from peattrestle.wirehost import protocol_names
 
-# Note of an exchange's release -> cause in `interface.TryEnded`.
+# Option `note` of an exchange's release -> cause in `interface.TryEnded`.
 CAUSES = {
     "congestion": "no_circuit",
     "crankback": "turned_back",
@@ -19,7 +19,7 @@
     lines.FULL: "full",
     lines.BUSY: "error",
     lines.OUT_OF_ORDER: "error",
-    lines.MOOT: "moot",
+    lines.TIMER_EXPIRED: "moot",
     lines.RESET: "reset",
 }
 # Kind of a final answer -> SIP status; OWN_FAULT is a failure of the agent itself.
