--- a/peattrestle/sip/text.py
+++ b/peattrestle/sip/text.py
@@ -53,7 +53,7 @@
     elif len(parts) == 3 and parts[2] == "SIP/2.0" and parts[0].isalpha() and parts[0].isupper() and parts[1]:
         message = Message(parts[0], parts[1])
     else:
-        raise BadMessage("first line: neither a request line nor a status line")
+        raise BadMessage(f"first line: '{lines[0][:40]}' is neither a request line nor a status line")
     if len(lines) - 1 > MAX_FIELDS:
         raise BadMessage(f"more than {MAX_FIELDS} header fields")
     fields = message.fields
@@ -61,11 +61,11 @@
         name, colon, value = line.partition(":")
         name = name.rstrip(" \t").lower()
         if not colon or not name or name[0] in " \t":
-            raise BadMessage("header field without a name")
+            raise BadMessage(f"header field without a name: '{line[:40]}'")
         name = COMPACT_NAMES.get(name, name)
         value = value.strip(" \t")
         if name in ("call-id", "content-length", "cseq") and fields.get(name, value) != value:
-            raise BadMessage(f"{name}: two different values")
+            raise BadMessage(f"{name}: two different values, '{fields[name][:20]}' and '{value[:20]}'")
         fields[name] = value
     return message
 
@@ -89,9 +89,9 @@
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._searched = 0
-        self._message: Message | None = None
-        self._length = 0
+        self._searched = 0  # buffered bytes in which the end of the header was not found
+        self._message: Message | None = None  # decoded header whose body is incomplete
+        self._length = 0  # of its body, in bytes
 
     @property
     def has_partial_message(self) -> bool:
