--- a/peattrestle/feed/sse.py
+++ b/peattrestle/feed/sse.py
@@ -31,7 +31,7 @@
     def feed(self, data: bytes) -> list[ServerSentEvent]:
         """Returns the events that these bytes complete.
 
-        Raises BadFeed for event longer than `MAX_EVENT_BYTES` or an id that is not UTF-8.
+        Raises BadFeed for an event longer than `MAX_EVENT_BYTES` or an id that is not UTF-8.
         """
         events: list[ServerSentEvent] = []
         *lines, self._buffer = (self._buffer + data).split(b"\n")
--- a/peattrestle/feed/state.py
+++ b/peattrestle/feed/state.py
@@ -26,7 +26,11 @@
 
 
 class Host(msgspec.Struct, frozen=True):
-    """A member as encoded in the feed; `block` is the exchange's number, `born_ms` as in `Member`."""
+    """A member as encoded in the feed.
+
+    `host` is the exchange's name, `dial` its address, `block` its number, `health` a key of `STATES`, `site`
+    its zone, `born_ms` as in `Member`.
+    """
 
     host: str
     dial: str
@@ -75,20 +79,23 @@
     """The feed must be requested again from `FeedState.last`; the text says why."""
 
 
-_event: msgspec.json.Decoder[_Event] = msgspec.json.Decoder(_Event)
+_event_decoder: msgspec.json.Decoder[_Event] = msgspec.json.Decoder(_Event)
 
 
-def _change(event: _Event) -> Change | None:
+def _change_from(event: _Event) -> Change | None:
     update = event.members
     if update is None:
         return None
     if len(update.hosts) > MAX_MEMBERS:
-        raise BadFeed(f"more than {MAX_MEMBERS} members")
+        raise BadFeed(f"event {event.n}: more than {MAX_MEMBERS} members")
     members = []
     for host in update.hosts:
         state = STATES.get(host.health)
         if state is None or not host.host or not 0 <= host.block < 1 << 31 or not 0 <= host.born_ms < 1 << 53:
-            raise BadFeed(f"member '{host.host}': invalid health, name, block or born_ms")
+            raise BadFeed(
+                f"member '{host.host:.40}': invalid name, health '{host.health:.20}', block {host.block} "
+                f"or born_ms {host.born_ms}"
+            )
         members.append(Member(host.host, host.block, state, host.dial, host.site, host.born_ms))
     return Change(update.whole, tuple(members))
 
@@ -110,7 +117,7 @@
             known = msgspec.convert(tree, _KnownEvents)
         except msgspec.ValidationError as error:
             raise BadFeed(f"known: {error}") from None
-        new_events = [(event.n, _change(event)) for event in known.events if event.n > self.last]
+        new_events = [(event.n, _change_from(event)) for event in known.events if event.n > self.last]
         self.last = (
             max(self.last, known.n, *(n for n, _ in new_events)) if new_events else max(self.last, known.n)
         )
@@ -127,12 +134,12 @@
         """
         resumed = self._resumed_from == self.last
         try:
-            event = _event.decode(server_event.data)
+            event = _event_decoder.decode(server_event.data)
             if server_event.id and server_event.id != str(event.n):
                 raise BadFeed(f"event {event.n} has the id '{server_event.id[:20]}'")
             if event.n <= self.last:
                 return None
-            change = _change(event)
+            change = _change_from(event)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError, BadFeed) as error:
             number = (
                 int(server_event.id)
