--- a/peattrestle/platform/connections.py
+++ b/peattrestle/platform/connections.py
@@ -21,14 +21,14 @@
     from peattrestle.platform.agent import SipCall
 
 MS = 1_000_000  # nanoseconds
-FIRST_MESSAGE_TIMEOUT = 2_000 * MS
+FIRST_MESSAGE_TIMEOUT = 2_000 * MS  # for the first byte of a new connection
 MESSAGE_TIMEOUT = 1_500 * MS  # first to last byte of a connection's first message
-LATER_MESSAGE_TIMEOUT = 4_000 * MS
+LATER_MESSAGE_TIMEOUT = 4_000 * MS  # first to last byte of any further message
 MAX_UNSENT_BYTES = 131_072
 MAX_DISCARDED_BYTES = 65_536
-DISCARD_PAUSE = 10 * MS
-READ_SIZE = 16_384
-NEW_CONNECTION_GRACE = 250 * MS
+DISCARD_PAUSE = 10 * MS  # between full reads of discarded input
+READ_SIZE = 16_384  # bytes
+NEW_CONNECTION_GRACE = 250 * MS  # before a connection without a message is closed first at the limit
 LINGER_TIME = 50 * MS  # a set-up may still be in flight this long when we close
 
 
@@ -73,8 +73,13 @@
 class ConnectionObserver(Protocol):
     """Callbacks of the connections."""
 
-    def handle_message(self, caller: Caller, message: sip.Message) -> None: ...
-    def on_connection_ended(self, caller: Caller) -> None: ...
+    def handle_message(self, caller: Caller, message: sip.Message) -> None:
+        """Handles one message from a caller."""
+        ...
+
+    def on_connection_ended(self, caller: Caller) -> None:
+        """Handles the end of a connection, possibly with open calls."""
+        ...
 
 
 class CallerConnections:
@@ -119,7 +124,7 @@
             self.add_connection(stream)
 
     def add_connection(self, stream: Stream) -> None:
-        """Serves a new connection; at the limit an idle one is closed for it, or else the new one."""
+        """Serves a new connection; at the limit, closes an idle one first, or rejects the new one."""
         if len(self.active) + len(self.lingering) >= self.max_connections() and not self.close_idle():
             self.counts.add("connections_shed")
             self.log(
@@ -213,6 +218,7 @@
                 caller.stream.write(sip.answer(500, message.fields))
 
     def discard(self, caller: Caller, data: bytes) -> None:
+        """Ignores input of a closing connection; too much of it closes the connection at once."""
         caller.discarded_bytes += len(data)
         if caller.discarded_bytes > MAX_DISCARDED_BYTES and not caller.open_calls:
             caller.stream.close()
--- a/peattrestle/platform/link.py
+++ b/peattrestle/platform/link.py
@@ -31,7 +31,8 @@
 QUIET_GAPS = 10  # a connection quiet for so many average gaps, within the limits below, is probed
 MIN_QUIET, MAX_QUIET = 100 * MS, 1000 * MS
 PROBE_TIMEOUT = 300 * MS  # without a sign of life after a probe
-# Reports missed that the other connection received, quiet time, probe timeout: the earlier probe.
+# A connection that has missed so many reports that the other one received, and has been quiet for so long, is
+# probed early, with this probe timeout.
 MISSED_REPORTS, MISSED_REPORTS_QUIET, MISSED_REPORTS_PROBE_TIMEOUT = 4, 50 * MS, 150 * MS
 MAX_UNSENT_BYTES = 262_144
 UNCONFIRMED_RETENTION = 3_000 * MS  # longer than it takes to detect a silent connection
@@ -40,16 +41,32 @@
 class LinkObserver(Protocol):
     """Callbacks of a link."""
 
-    def on_link_up(self, link: Link) -> None: ...
+    def on_link_up(self, link: Link) -> None:
+        """Handles the first line on a new connection."""
+        ...
+
     def on_link_lost(
         self, link: Link, tries: list[LinkTry], unconfirmed: list[tuple[str, bytes]], why: str
-    ) -> None: ...
-    def on_link_refused(self, link: Link, nothing_listens: bool) -> None: ...
-    def on_line(self, link: Link, connection: LinkConnection, line: lines.Line) -> None: ...
+    ) -> None:
+        """Handles a lost connection with its pending tries and its unconfirmed releases (tag, line)."""
+        ...
+
+    def on_link_refused(self, link: Link, nothing_listens: bool) -> None:
+        """Handles a failed connection attempt; `nothing_listens`: the address refused it."""
+        ...
+
+    def on_line(self, link: Link, connection: LinkConnection, line: lines.Line) -> None:
+        """Handles one line from the exchange. Raises BadLine if its content is invalid."""
+        ...
 
 
 class LinkConnection:
-    """One of the link's connections, replaced when it is lost. `pending_count`: set-ups pending on it."""
+    """One of the link's connections, replaced when it is lost.
+
+    `pending_count` is the number of set-ups pending on it, `probed_at` the time of the unanswered probe, 0
+    without one, `average_gap` the moving average of the time between signs of life. `missed_reports` counts
+    the load reports that only the other connection received since its last sign of life.
+    """
 
     def __init__(self, link: Link, index: int) -> None:
         self.link, self.kernel = link, link.kernel
@@ -190,7 +207,8 @@
 
     `tries` are the pending set-ups by the call's id in the protocol, `waiting` the encoded set-ups that wait
     for a connection, `unconfirmed` the releases that the exchange has not confirmed. New connections go to
-    `address`. `retired`: the exchange left the list and is not connected to again.
+    `address`. `connect_failed`: a connection attempt has failed since a line was last received. `retired`:
+    the exchange left the list and is not connected to again.
     """
 
     def __init__(
