--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -87,8 +87,9 @@
 class Agent(Core[SipCall, LinkTry]):
     """The call agent; log lines go to `log(level, text, **fields)`, `on_stopped` is called after a shutdown.
 
-    `established_calls` are by exchange and Call-ID; `early_releases` are the times of releases received for
-    calls that are not known here (yet).
+    `established_calls` are by exchange and Call-ID, `calls_by_tag` by Call-ID. `group_sizes` are the trunk
+    group sizes that the exchanges report. `undelivered_releases` wait, by exchange, for a connection;
+    `early_releases` are the times of releases received for calls that are not known here (yet).
     """
 
     def __init__(
@@ -211,14 +212,14 @@
     def apply_change(self, change: Change) -> None:
         """Applies a change of the exchange list to links, calls, guard and controller."""
         now, wall_ms = self.kernel.now(), self.kernel.wall_time() // MS
-        rows = list(change.members)
+        changed_members = list(change.members)
         if change.is_full:
-            present = {member.exchange for member in rows}
+            present = {member.exchange for member in changed_members}
             for name, old in self.members.items():
                 if name not in present:
-                    rows.append(Member(name, old.number, GONE, old.address, old.zone, 0))
+                    changed_members.append(Member(name, old.number, GONE, old.address, old.zone, 0))
         entries = []
-        for member in rows:
+        for member in changed_members:
             started_at = max(1, now - (wall_ms - member.born_ms) * MS) if member.born_ms else 0
             entries.append(api.Entry(member.exchange, member.number, member.state, started_at, member.zone))
             self.guard.on_exchange_state(now, member.exchange, member.state, started_at)
--- a/peattrestle/platform/log.py
+++ b/peattrestle/platform/log.py
@@ -36,8 +36,9 @@
 class Logger:
     """Writes `at` (Unix seconds), `level`, `text` and the given fields as one JSON object per line.
 
-    Lines beyond the limit of a second are dropped; the next line of that kind carries their number as
-    `lines_dropped`. `stopping` raises the limit for debug lines.
+    Lines beyond the limit of a second are dropped. Debug lines and all others have limits of their own; the
+    next line written of the same kind has the number of dropped lines as `lines_dropped`. `stopping` raises
+    the limit for debug lines.
     """
 
     def __init__(
@@ -48,10 +49,12 @@
         self.stopping = False
         self._pipe_size = pipe_size(self.output)
         self._second = 0
+        # Numbers of lines by whether they are debug lines.
         self._written = {True: 0, False: 0}
         self._dropped = {True: 0, False: 0}
 
     def __call__(self, level: str, text: str, **fields: Any) -> None:
+        """Writes one line, or drops it if it is beyond the limit or would block."""
         debug = level == "debug"
         if not self._is_within_limit(debug) or self._would_block():
             self._dropped[debug] += 1
--- a/peattrestle/platform/request.py
+++ b/peattrestle/platform/request.py
@@ -30,7 +30,7 @@
 
     `tag` is its Call-ID and `patience` the time in nanoseconds that the caller waits for the final answer.
     `established_exchange` is the exchange where the call is established already, '' for a new call.
-    `cut_before` has the meaning that it has in `interface.CallArrived`; `description` is the body.
+    `description` is the body. The other fields have the same meaning as in `interface.CallArrived`.
     """
 
     tag: str
@@ -62,10 +62,10 @@
     if _call_id_pattern.fullmatch(tag) is None:
         raise BadSetUp(f"Call-ID: '{tag[:20]}' is not 16 lower-case hexadecimal digits")
     if not fields.get("cseq", "").endswith(" INVITE"):
-        raise BadSetUp("CSeq: the method is not INVITE")
+        raise BadSetUp(f"CSeq: the method in '{fields.get('cseq', '')[:20]}' is not INVITE")
     uri = _uri_pattern.fullmatch(message.uri)
     if uri is None:
-        raise BadSetUp("request URI: not sip:NUMBER@HOST")
+        raise BadSetUp(f"request URI: '{message.uri[:40]}' is not sip:NUMBER@HOST")
     bearer_type = fields.get("x-cos", "")
     if bearer_type not in bearer_types:
         raise BadSetUp(f"X-Cos: '{bearer_type[:20]}' is not a bearer type")
