--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -522,25 +522,25 @@
     "no class": (invite(X_Cos=""), 400),
     "unknown class": (invite(X_Cos="gold"), 400),
     "no timer": (invite(X_Timer_Ms=""), 400),
-    "timer no number": (invite(X_Timer_Ms="1e3"), 400),
+    "timer not a number": (invite(X_Timer_Ms="1e3"), 400),
     "timer out of range": (invite(X_Timer_Ms="99999999999999999999"), 400),
     "timer negative": (invite(X_Timer_Ms="-5"), 400),
     "no destination": (invite(legs="width:1"), 400),
-    "destination no number": (invite(legs="dest:x"), 400),
+    "destination not a number": (invite(legs="dest:x"), 400),
     "destination unknown": (invite(legs="dest:77"), 503),
     "width out of range": (invite(legs="dest:1;width:0"), 400),
-    "figures twice": (invite(legs="dest:1;dest:2"), 400),
-    "at no exchange": (invite(legs="dest:1;at:a b"), 400),
+    "field of X-Legs twice": (invite(legs="dest:1;dest:2"), 400),
+    "invalid exchange name": (invite(legs="dest:1;at:a b"), 400),
     "no description": (invite(body=""), 400),
     "another method in CSeq": (invite(CSeq="1 BYE"), 400),
     "wrong length": (invite(Content_Length="x"), 400),
     "huge length": (invite(Content_Length="60000000"), 413),
     "noise": (b"\x00\x01\x02\r\n\r\n", 400),
     "unknown method": (request("SUBSCRIBE"), 501),
-    "release of nothing": (request("BYE"), 481),
-    "taking back nothing": (request("CANCEL"), 481),
-    "no end": (b"INVITE sip:a@net SIP/2.0\r\nX: ", 408),
-    "half a body": (invite()[:-5], 408),
+    "release of an unknown call": (request("BYE"), 481),
+    "cancel of an unknown call": (request("CANCEL"), 481),
+    "incomplete header": (b"INVITE sip:a@net SIP/2.0\r\nX: ", 408),
+    "incomplete body": (invite()[:-5], 408),
     "silence": (b"", 408),
 }
 
@@ -622,9 +622,11 @@
         ([[4 * SECOND], [DRAINING_EVENT]], [1, 1], "draining"),
         ([[DRAINING_EVENT], [encode_event(2, host("s1", 1)), b""]], [1, 2], "draining"),
     ],
-    ids=["told", "repeated", "half", "gap", "spoilt", "stopped", "broken off"],
+    ids=["next event", "repeated", "truncated", "gap", "corrupt", "silent", "connection closed"],
 )  # fmt: skip
-def test_the_feed_is_followed(script: list[list[bytes | int]], requested_from: list[int], state: str) -> None:
+def test_each_feed_event_is_applied_once_despite_faults_of_the_feed(
+    script: list[list[bytes | int]], requested_from: list[int], state: str
+) -> None:
     harness = Harness()
     other = Feed(harness, "127.0.2.2:9092")
     other.script = script
@@ -689,7 +691,7 @@
     assert harness.ended
 
 
-def test_nothing_is_kept_of_many_calls() -> None:
+def test_no_state_remains_after_many_calls() -> None:
     harness = Harness()
     exchange = harness.exchanges[1]
     for number in range(400):
--- a/tests/platform/test_feed.py
+++ b/tests/platform/test_feed.py
@@ -40,6 +40,6 @@
     harness.feed.script += [[60_000 * MS], [60_000 * MS], [DRAINING_EVENT, 60_000 * MS], [DRAINING_EVENT]]
     follower.stream.abort()
     harness.advance(100)
-    back_at = 2_600  # a second request has just been left unanswered when the feed recovers
-    harness.advance(back_at + 6_000)
+    recovers_after_ms = 2_600  # a second request has just been left unanswered when the feed recovers
+    harness.advance(recovers_after_ms + 6_000)
     assert harness.agent.members["s1"].state == "draining"
--- a/tests/platform/test_log.py
+++ b/tests/platform/test_log.py
@@ -27,7 +27,7 @@
     assert written[-1]["lines_dropped"] == 5
 
 
-def test_a_shutdown_may_write_more() -> None:
+def test_a_shutdown_raises_the_limit_of_debug_lines() -> None:
     logger = log.Logger(VirtualKernel(1, Network()), output := io.StringIO())
     logger.stopping = True
     for _ in range(log.MAX_DEBUG_LINES + 5):
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -135,7 +135,7 @@
     assert str(path) in line
 
 
-def test_it_imports_nothing_that_the_platform_has_no_use_for() -> None:
+def test_the_platform_agent_imports_no_unneeded_package() -> None:
     code = "import sys, peattrestle.platform.agent; print(' '.join(sys.modules))"
     names = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True, text=True).stdout
     assert "peattrestle.control" in names.split()
