--- a/tests/feed/test_feed.py
+++ b/tests/feed/test_feed.py
@@ -26,13 +26,13 @@
 
 
 STREAM = b'id: 4\ndata: {"a":\ndata: 1}\n\n: still here\n\r\nid:5\r\ndata:b\r\n\r\nid: 6\ndata: half\n'
-READ = [ServerSentEvent("4", b'{"a":\n1}'), ServerSentEvent("5", b"b")]
+EXPECTED_EVENTS = [ServerSentEvent("4", b'{"a":\n1}'), ServerSentEvent("5", b"b")]
 
 
 def test_events_are_parsed_however_the_bytes_are_split_and_incomplete_ones_never() -> None:
     for at in range(len(STREAM)):
-        events = EventStreamParser()
-        assert events.feed(STREAM[:at]) + events.feed(STREAM[at:]) == READ
+        parser = EventStreamParser()
+        assert parser.feed(STREAM[:at]) + parser.feed(STREAM[at:]) == EXPECTED_EVENTS
 
 
 @pytest.mark.parametrize(
@@ -44,12 +44,13 @@
 
 
 def test_any_number_of_comments_is_ignored() -> None:
-    events = EventStreamParser()
+    parser = EventStreamParser()
     for _ in range(40):
-        assert events.feed(b": " + b"c" * 50_000 + b"\n\n") == []
+        assert parser.feed(b": " + b"c" * 50_000 + b"\n\n") == []
 
 
-def started(last: int = 3) -> FeedState:
+def state_after_known_events(last: int = 3) -> FeedState:
+    """Returns a state with the events 1 to `last` applied, after a request for the next ones."""
     state = FeedState()
     state.apply_known(
         {"n": last, "events": [event(n, host(f"s{n}"), whole=n == 1) for n in range(1, last + 1)]}
@@ -83,7 +84,7 @@
 
 
 def test_a_repeat_changes_nothing() -> None:
-    state = started()
+    state = state_after_known_events()
     assert state.apply(feed_event(3, host("a", "DELETED"))) is None
     assert state.apply(feed_event(4, host("a"))) is not None
     assert state.apply(feed_event(4, host("a", "DELETED"))) is None
@@ -91,7 +92,7 @@
 
 
 def test_a_gap_is_requested_again_and_accepted_if_the_source_has_no_more() -> None:
-    state = started()
+    state = state_after_known_events()
     with pytest.raises(ResumeRequired):
         state.apply(feed_event(5, host("a")))
     assert state.last == 3
@@ -110,7 +111,7 @@
      json.dumps(event(4, host("a", "ASLEEP"))).encode()],
 )  # fmt: skip
 def test_a_corrupt_event_is_requested_once_more_then_skipped(corrupt: bytes) -> None:
-    state = started()
+    state = state_after_known_events()
     with pytest.raises(ResumeRequired):
         state.apply(ServerSentEvent("4", corrupt))
     assert state.last == 3
@@ -120,7 +121,7 @@
 
 
 def test_a_corrupt_event_that_is_valid_the_second_time_is_applied() -> None:
-    state = started()
+    state = state_after_known_events()
     with pytest.raises(ResumeRequired):
         state.apply(ServerSentEvent("4", b"{"))
     state.on_request()
@@ -128,8 +129,8 @@
 
 
 @given(st.lists(st.tuples(st.text(max_size=5), st.binary(max_size=80)), max_size=8))
-def test_any_input_is_a_change_a_repeat_or_a_new_request(rows: list[tuple[str, bytes]]) -> None:
-    state = started()
+def test_any_input_is_applied_ignored_or_requested_again(rows: list[tuple[str, bytes]]) -> None:
+    state = state_after_known_events()
     for number, data in rows:
         try:
             state.apply(ServerSentEvent(number, data))
--- a/tests/sip/test_text.py
+++ b/tests/sip/test_text.py
@@ -26,7 +26,7 @@
 RINGING = b"\r\nSIP/2.0 180 Ringing\r\nCall-ID : x\r\nContent-Length:  2 \r\n\r\nhi"
 BYE = b"BYE sip:a@net SIP/2.0\r\nCall-ID: x\r\nReason: Q.850;cause=16\r\nContent-Length: 0\r\n\r\n"
 
-GOOD = [
+VALID_MESSAGES = [
     (INVITE, Message("INVITE", "sip:7f3a9c21e0b4d655@net"), "9b1f03aa5c7e2d41", BODY),
     (ACK, Message("ACK", "sip:a@net"), "9b1f03aa5c7e2d41", b""),
     (RINGING, Message(status=180), "x", b"hi"),
@@ -43,7 +43,7 @@
     return out
 
 
-@pytest.mark.parametrize(("data", "start", "call_id", "body"), GOOD)
+@pytest.mark.parametrize(("data", "start", "call_id", "body"), VALID_MESSAGES)
 def test_a_message_is_decoded_however_the_bytes_are_split(
     data: bytes, start: Message, call_id: str, body: bytes
 ) -> None:
@@ -55,9 +55,11 @@
 
 
 def test_consecutive_messages_are_separated() -> None:
-    together = b"".join(row[0] for row in GOOD)
+    together = b"".join(row[0] for row in VALID_MESSAGES)
     for at in range(len(together)):
-        assert [message.body for message in read(together[:at], together[at:])] == [row[3] for row in GOOD]
+        assert [message.body for message in read(together[:at], together[at:])] == [
+            row[3] for row in VALID_MESSAGES
+        ]
 
 
 def with_length(value: bytes) -> bytes:
@@ -104,7 +106,11 @@
         reader.next()
 
 
-@given(st.lists(st.one_of(st.binary(max_size=300), st.sampled_from([row[0] for row in GOOD])), max_size=6))
+@given(
+    st.lists(
+        st.one_of(st.binary(max_size=300), st.sampled_from([row[0] for row in VALID_MESSAGES])), max_size=6
+    )
+)
 def test_any_input_yields_messages_or_bad_message(pieces: list[bytes]) -> None:
     reader = Reader()
     for piece in pieces:
@@ -138,11 +144,11 @@
         ("Q.850;cause=1234", 16),
     ],
 )
-def test_the_cause_of_a_release(reason: str, cause: int) -> None:
+def test_the_q850_cause_of_a_release_or_its_default(reason: str, cause: int) -> None:
     assert cause_of(Message("BYE", fields={"reason": reason})) == cause
 
 
-def test_encoding() -> None:
+def test_messages_are_encoded_byte_for_byte() -> None:
     request_fields = {"via": "SIP/2.0/TCP peer", "call-id": "x", "cseq": "1 INVITE", "x-cos": "voice"}
     assert answer(200, request_fields, b"hi") == (
         b"SIP/2.0 200 OK\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: x\r\nCSeq: 1 INVITE\r\n"
