--- a/peattrestle/trials/__main__.py
+++ b/peattrestle/trials/__main__.py
@@ -22,7 +22,7 @@
 
 
 def print_result(result: TrialResult, timeline: bool) -> None:
-    """Prints one result with its first violations and, if asked for, its timeline."""
+    """Prints one result with its first violations and, if `timeline` is set, what happened in the trial."""
     status = "passed" if result.passed else "FAILED"
     figures = f"{result.requests} requests, {result.established} stood, {result.attempts} attempts"
     figures += f", stand-ins {result.observer_lag // 1_000_000} ms late at most"
@@ -40,6 +40,7 @@
 
 
 def main() -> int:
+    """Runs the trials that the arguments ask for; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m peattrestle.trials", description=__doc__)
     parser.add_argument("--seeds", default="1-10", help="as 7, 1-50 or 3,8,20-25 (default 1-10)")
     parser.add_argument("--jobs", type=int, default=3, help="trials at the same time (default 3)")
--- a/peattrestle/trials/caller.py
+++ b/peattrestle/trials/caller.py
@@ -1,4 +1,4 @@
-"""Stand-in callers over SIP. Regular ones use a connection until its agent ends it."""
+"""Stand-in callers over SIP: regular ones, which use a connection until it ends, and abusive ones."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from peattrestle.trials.deployment import BEARER_TYPE, Deployment
 from peattrestle.trials.record import Answer, CallerConnection, ConnectionEnd, Record, Request
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 CONNECT_TIMEOUT = 1_000 * MS
 ABUSE_RESPONSE_TIMEOUT = 3_000 * MS
 
@@ -74,6 +74,7 @@
         return self.connection.end is ConnectionEnd.OPEN and not self.writing
 
     def read_messages(self) -> Coroutine[None]:
+        """Reads messages until the connection ends, and records who ended it."""
         reader, end = sip.Reader(), ConnectionEnd.AGENT_CLOSED
         try:
             while data := (yield from self.stream.read()):
@@ -88,6 +89,7 @@
         self.on_ended(end)
 
     def on_ended(self, end: ConnectionEnd) -> None:
+        """Records the end of the connection, unless it is recorded already, and notifies the group."""
         if self.connection.end is ConnectionEnd.OPEN:
             self.connection.end, self.connection.ended_at = end, self.group.kernel.now()
         self.stream.close()
@@ -147,6 +149,7 @@
                     self.send_invite(self.rng.choice(usable))
 
     def open_connection(self) -> Coroutine[None]:
+        """Opens a connection to the agent and sends a first set-up on it; does nothing if that fails."""
         try:
             stream = yield from self.kernel.connect(
                 self.deployment.agent_address(self.agent), CONNECT_TIMEOUT
@@ -160,7 +163,7 @@
             self.send_invite(driver)
 
     def send_invite(self, driver: CallerConnectionDriver) -> Request:
-        """Sends a set-up to a random exchange and decides whether it is written slowly or abandoned."""
+        """Sends a set-up for a random exchange and decides whether it is written slowly or abandoned."""
         answer_timeout = round(self.deployment.deadline * (0.7 + 0.3 * self.rng.random()))
         call_id = f"{self.rng.getrandbits(64):016x}"
         connection = driver.connection
@@ -198,6 +201,7 @@
             driver.send(bodyless_request("CANCEL", request.call_id))
 
     def handle_message(self, driver: CallerConnectionDriver, message: sip.Message) -> None:
+        """Handles a release or a final answer from the agent; other messages are ignored."""
         if message.method == "BYE":
             request = self.record.requests.get(message.call_id)
             if request is not None:
@@ -207,6 +211,7 @@
             self.handle_answer(driver, message)
 
     def handle_answer(self, driver: CallerConnectionDriver, message: sip.Message) -> None:
+        """Records a final answer; may try again after a refusal, or release an established call later."""
         request = self.record.requests.get(message.call_id)
         if request is None:
             self.record.unsolicited.append(
@@ -233,6 +238,7 @@
         self.rng.choice(usable).send(bodyless_request("BYE", request.call_id))
 
     def on_connection_ended(self, driver: CallerConnectionDriver) -> None:
+        """Replaces an ended connection while the agent is in service."""
         if driver in self.connections:
             self.connections.remove(driver)
         if self.sending and self.opens_connections:
@@ -246,6 +252,7 @@
             driver.stream.abort()
 
 
+# Invalid, incomplete and missing messages; the agent has to answer each or to close its connection.
 ABUSIVE_INPUTS = (
     b"\x00\x01\x02\r\n\r\n",
     b"INVITE sip:a@net SIP/2.0\r\nX: ",
@@ -266,18 +273,19 @@
         kernel.spawn(self.run(), "abusive caller")
 
     def run(self) -> Coroutine[None]:
+        """Sends the data and records it if the agent neither answers nor closes the connection in time."""
         try:
             stream = yield from self.kernel.connect(self.address, CONNECT_TIMEOUT)
         except ConnectFailed:
             return
         stream.write(self.data)
         answered = False
-        reader = self.kernel.spawn(stream.read(), "abusive caller reads", report_errors=False)
+        read_task = self.kernel.spawn(stream.read(), "abusive caller reads", report_errors=False)
         deadline = self.kernel.now() + ABUSE_RESPONSE_TIMEOUT
         while self.kernel.now() < deadline and not answered:
             yield from self.kernel.sleep(20 * MS)
-            answered = reader.done
+            answered = read_task.done
         if not answered:
             self.record.abusive_unanswered.append(self.data[:30].hex())
-        reader.cancel()
+        read_task.cancel()
         stream.close()
--- a/peattrestle/trials/deployment.py
+++ b/peattrestle/trials/deployment.py
@@ -7,13 +7,14 @@
 from pathlib import Path
 from typing import Any
 
-MS = 1_000_000
-US = 1_000
+MS = 1_000_000  # nanoseconds
+US = 1_000  # nanoseconds
 BEARER_TYPE = "line"
-MAX_COUNTED_DEADLINE = 3_000 * MS
-KILL_GRACE = 700 * MS
-FALL_WINDOW = 1_000 * MS
-COLD_TIME = 14_000 * MS
+MAX_COUNTED_DEADLINE = 3_000 * MS  # the platform counts a longer deadline as this
+KILL_GRACE = 700 * MS  # from SIGTERM to the earliest SIGKILL, beyond the counted deadline
+FALL_WINDOW = 1_000 * MS  # in which set-ups to a cold exchange are counted
+COLD_TIME = 14_000 * MS  # after its start, an exchange counts as cold for this long
+# Third byte of the loopback addresses that the first agent uses.
 FIRST_EXCHANGE_SUBNET, FIRST_FEED_SUBNET = 100, 200
 
 
--- a/peattrestle/trials/environment.py
+++ b/peattrestle/trials/environment.py
@@ -18,12 +18,12 @@
 from peattrestle.trials.record import Departure, Record
 from peattrestle.trials.rule_checker import RuleChecker, Violation
 
-MS = 1_000_000
-# By when the agents count as notified of a change of the feed.
-SILENCE_DETECTION_TIME = 4_000 * MS
-RECONNECT_TIME = 6_000 * MS
-FEED_MOVE_TIME = 4_000 * MS
-NEVER = 3_600_000 * MS
+MS = 1_000_000  # nanoseconds
+# Times after which the agents count as notified of a change that the feed publishes.
+SILENCE_DETECTION_TIME = 4_000 * MS  # until agents give up a silent feed connection
+RECONNECT_TIME = 6_000 * MS  # until agents follow the feed again after an outage
+FEED_MOVE_TIME = 4_000 * MS  # after SIGHUP with another address of the feed
+NEVER = 3_600_000 * MS  # longer than any trial
 NEW_CONNECTIONS_WINDOW = 400 * MS  # after SIGTERM callers open new connections for this long
 RESTART_DELAY = 300 * MS
 FEED_ADDRESS_COUNT = 3
--- a/peattrestle/trials/exchange.py
+++ b/peattrestle/trials/exchange.py
@@ -11,9 +11,9 @@
 from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.trials.record import Attempt, AttemptEnd, Record
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 REPORT_INTERVAL = 100 * MS
-CIRCUIT_COUNT = 200
+CIRCUIT_COUNT = 200  # reported as free by an exchange without calls
 
 
 class Behaviour(enum.Enum):
@@ -57,14 +57,15 @@
         self.silent = False
         self.alive = True
         self.streams: dict[Stream, int] = {}  # the agent that opened each connection
-        self.established: dict[str, tuple[Attempt, Stream]] = {}
-        self.pending: dict[tuple[Stream, str], Attempt] = {}
-        self.repeated_releases: dict[int, list[tuple[Attempt, bytes]]] = {}
+        self.established: dict[str, tuple[Attempt, Stream]] = {}  # by Call-ID
+        self.pending: dict[tuple[Stream, str], Attempt] = {}  # by connection and Call-ID
+        self.repeated_releases: dict[int, list[tuple[Attempt, bytes]]] = {}  # by agent
         self.listeners = [kernel.listen(address) for address in addresses]
         for agent, listener in enumerate(self.listeners):
             kernel.spawn(self.accept(listener, agent), f"exchange {name}")
 
     def accept(self, listener: Listener, agent: int) -> Coroutine[None]:
+        """Accepts connections of one agent until the listener is closed."""
         while True:
             try:
                 stream = yield from listener.accept()
@@ -74,6 +75,7 @@
             self.kernel.spawn(self.serve(stream), f"connection of exchange {self.name}")
 
     def serve(self, stream: Stream) -> Coroutine[None]:
+        """Sends load reports and handles lines until the connection ends."""
         reader = lines.Reader()
         reporter = self.kernel.spawn(self.send_load_reports(stream), "load reports")
         self.kernel.spawn(self.repeat_releases(stream), "repeat releases")
@@ -101,6 +103,7 @@
         stream.close()
 
     def send_load_reports(self, stream: Stream) -> Coroutine[None]:
+        """Sends a load report at each interval; the first one is late on some connections."""
         if self.rng.random() < self.late_report_share:
             yield from self.kernel.sleep(self.rng.randint(50, 1_000) * MS)
         while True:
@@ -123,6 +126,7 @@
             stream.write(json.dumps({"opts": {}} | line).encode() + b"\n")
 
     def handle_line(self, stream: Stream, line: lines.Line) -> None:
+        """Handles a set-up, a release or a probe."""
         if line.verb == "START":
             self.handle_set_up(stream, line)
         elif line.verb == "FINISH":
@@ -178,6 +182,7 @@
                 yield from self.answer_set_up(stream, attempt, behaviour)
 
     def wait_while_silent(self) -> Coroutine[None]:
+        """Waits until the exchange is no longer silent, or has ended."""
         while self.silent and self.alive:
             yield from self.kernel.sleep(20 * MS)
 
@@ -228,6 +233,7 @@
         self.send(stream, {"verb": "FINISHED", "tag": tag})
 
     def end_attempt(self, attempt: Attempt, end: AttemptEnd) -> None:
+        """Records how and when an attempt ended."""
         attempt.ended_at, attempt.end = self.kernel.now(), end
 
     def terminate(self) -> None:
--- a/peattrestle/trials/feed.py
+++ b/peattrestle/trials/feed.py
@@ -10,7 +10,7 @@
 from peattrestle.runtime import ConnectionLost, Coroutine, Kernel, Listener, Stream
 from peattrestle.trials.deployment import Deployment
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 COMMENT_INTERVAL = 1_000 * MS
 SILENT_DURATION = 60_000 * MS  # a connection opened during a silent outage gets nothing for so long
 
@@ -35,6 +35,7 @@
     state: str = "SERVING"
 
     def payload(self, address: str) -> dict[str, Any]:
+        """Returns the exchange as it is encoded in an event."""
         return {"host": self.name, "dial": address, "block": self.number, "health": self.state, "born_ms": 0}
 
 
@@ -67,15 +68,18 @@
         return self.deployment.feed_address(self.address_index, agent)
 
     @property
-    def is_speaking(self) -> bool:
+    def sends_events(self) -> bool:
+        """Whether subscribers get events and comments at present."""
         return self.state is not FeedState.SILENT
 
     def open(self) -> None:
+        """Listens on the present address of each agent. Raises OSError."""
         self.listeners = [self.kernel.listen(self.address(agent)) for agent in range(self.deployment.agents)]
         for agent, listener in enumerate(self.listeners):
             self.kernel.spawn(self.accept(listener, agent), "feed")
 
     def accept(self, listener: Listener, agent: int) -> Coroutine[None]:
+        """Accepts connections of one agent until the listener is closed."""
         while True:
             try:
                 stream = yield from listener.accept()
@@ -85,6 +89,7 @@
             self.kernel.spawn(self.serve(stream), "feed subscriber")
 
     def serve(self, stream: Stream) -> Coroutine[None]:
+        """Serves one subscriber until its connection ends."""
         try:
             yield from self.handle_request(stream)
         except ConnectionLost:
@@ -95,6 +100,7 @@
             stream.close()
 
     def handle_request(self, stream: Stream) -> Coroutine[None]:
+        """Reads the request and responds as the state of the feed requires."""
         request = b""
         while b"\r\n\r\n" not in request:
             data = yield from stream.read()
@@ -116,13 +122,14 @@
         self.subscribers[stream] = int(last_event_header.partition(":")[2])
         stream.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
         while stream in self.subscribers:
-            if self.is_speaking:
+            if self.sends_events:
                 self.send(stream)
                 stream.write(b": alive\n\n")
             yield from self.kernel.sleep(COMMENT_INTERVAL)
         yield from self.kernel.sleep(SILENT_DURATION)
 
     def send(self, stream: Stream) -> None:
+        """Sends a subscriber the events that it has not got yet."""
         last = self.subscribers[stream]
         for event in self.events:
             if event.number > last:
@@ -131,6 +138,7 @@
                 self.subscribers[stream] = event.number
 
     def payload(self, event: Event, agent: int) -> dict[str, Any]:
+        """Returns an event as it is encoded for one agent, with the addresses that this agent uses."""
         hosts = [
             host.payload(self.deployment.exchange_address(host.address_index, agent)) for host in event.hosts
         ]
@@ -168,6 +176,7 @@
             del self.subscribers[stream]  # a connection that fell silent sends nothing more
 
     def close_listeners(self) -> None:
+        """Refuses new connections; open ones stay."""
         for listener in self.listeners:
             listener.close()
 
--- a/peattrestle/trials/process.py
+++ b/peattrestle/trials/process.py
@@ -16,7 +16,7 @@
 from peattrestle.trials.deployment import Deployment
 from peattrestle.trials.record import AgentRun, Record
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 POLL_INTERVAL = 5 * MS
 READY_TIMEOUT = 10_000 * MS
 DEBUG_LINES_PER_SECOND = 5_000  # high enough to log every step of each call
@@ -107,6 +107,7 @@
         return data.startswith(b"SIP/2.0 200")
 
     def send_signal(self, signal_number: signal.Signals) -> None:
+        """Sends a signal to the process, if it still runs, and adds it to the timeline."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal_number)
             self.record.add_event(self.kernel.now(), f"n{self.agent}: {signal_number.name}")
@@ -128,7 +129,7 @@
         self.kill_if_running()
 
     def error_lines(self) -> list[str]:
-        """Returns the log lines at level error, and lines that are no log entries."""
+        """Returns the log lines at level error, and lines that are not log entries, such as tracebacks."""
         lines = []
         for line in self.log_path.read_text(errors="replace").splitlines():
             try:
--- a/peattrestle/trials/random_trial.py
+++ b/peattrestle/trials/random_trial.py
@@ -14,16 +14,17 @@
 from peattrestle.trials.exchange import Behaviour, StandInExchange
 from peattrestle.trials.feed import FeedState
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 SECOND = 1_000 * MS
 DEADLINES = (100 * MS, 300 * MS, 1_000 * MS, 3_000 * MS)
+# Second bytes of the loopback addresses that are used.
 FIRST_NETWORK = 20
 NETWORK_COUNT = 200
 TROUBLE_DURATION = 9 * SECOND
 SETTLING_TIME = 1 * SECOND
 MAX_RESTART_DURATION = 25 * SECOND
-BURST_SIZE = 25
-SILENT_CROWD_SIZE = 150
+BURST_SIZE = 25  # set-ups
+SILENT_CROWD_SIZE = 150  # callers
 
 OUTAGES = (FeedState.DOWN, FeedState.SILENT, FeedState.REFUSING, FeedState.SLOW)
 FAULTY_ANSWERS = (
@@ -35,7 +36,7 @@
 )
 FAILURES = (Behaviour.NO_ANSWER, Behaviour.RESET, Behaviour.CLOSE, Behaviour.FULL, Behaviour.ERROR)
 
-# Injects one kind of fault into a running trial.
+# A trouble is a coroutine that injects one kind of fault into a running trial.
 Trouble = Callable[["Trial"], Coroutine[None]]
 
 
--- a/peattrestle/trials/record.py
+++ b/peattrestle/trials/record.py
@@ -104,7 +104,7 @@
 
 @dataclass(slots=True)
 class Departure:
-    """When an exchange began to leave, and by when the agents count as notified."""
+    """When an exchange began to drain or was removed, and by when the agents count as notified of it."""
 
     exchange: str
     leaving_at: int
--- a/peattrestle/trials/rule_checker.py
+++ b/peattrestle/trials/rule_checker.py
@@ -19,7 +19,7 @@
     Request,
 )
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 TIMING_TOLERANCE = 50 * MS  # PROTOCOL.md, "The rules on sockets"
 CROSSING_WINDOW = 50 * MS  # PROTOCOL.md: a set-up that crosses a close within this time is sent again
 LATE_ANSWER_TOLERANCE = 500 * MS  # FLEET.md: a request counts as lost only this long after its timeout
@@ -102,6 +102,7 @@
         return violations
 
     def offered_descriptions(self, request: Request) -> set[str]:
+        """Returns the descriptions with which exchanges answered the request's attempts."""
         return {attempt.description for attempt in self.attempts[request.call_id] if attempt.description}
 
     def check_first_answer(self, request: Request) -> list[Violation]:
@@ -144,6 +145,7 @@
         return []
 
     def lost_request(self, request: Request, at: int, reason: str) -> Violation:
+        """Returns the violation for a request that got no final answer in time."""
         attempts = [f"{attempt.exchange} {attempt.end.value}" for attempt in self.attempts[request.call_id]]
         return Violation("lost", at, f"{request.call_id} at n{request.agent}: {reason}; attempts {attempts}")
 
--- a/peattrestle/trials/soak.py
+++ b/peattrestle/trials/soak.py
@@ -12,15 +12,16 @@
 from peattrestle.trials.random_trial import Trial
 from peattrestle.trials.rule_checker import Violation
 
-MS = 1_000_000
-BURST_SEED_INTERVAL = 5
+MS = 1_000_000  # nanoseconds
+BURST_SEED_INTERVAL = 5  # seeds divisible by this run with set-ups in bursts
 
 
 @dataclass(slots=True)
 class TrialResult:
     """The result of one trial; `directory` holds the agents' logs if it failed.
 
-    `established` counts set-ups answered with 200, `error` is what kept the trial from running to its end.
+    `established` counts set-ups answered with 200, `observer_lag` is that of `Record` in nanoseconds, `error`
+    is what kept the trial from running to its end.
     """
 
     seed: int
--- a/tests/trials/test_random_trials.py
+++ b/tests/trials/test_random_trials.py
@@ -8,7 +8,7 @@
 JOBS = 3
 
 
-def test_drawn_trials_break_no_rule() -> None:
+def test_random_trials_break_no_rule() -> None:
     results = list(run_trials(SEEDS, JOBS))
     failures = [
         f"seed {result.seed}: {result.error or result.violations[:3]}"
--- a/tests/trials/test_rule_checker.py
+++ b/tests/trials/test_rule_checker.py
@@ -18,7 +18,7 @@
 )
 from peattrestle.trials.rule_checker import RuleChecker
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 STARTED_AT, SENT_AT, OBSERVED_UNTIL = 1_000 * MS, 5_000 * MS, 60_000 * MS
 CALL_ID = "00000000000000e1"
 DESCRIPTION = "77aa\r\n"
@@ -78,7 +78,9 @@
         (make_record(end=ConnectionEnd.INJECTED, ended_at=SENT_AT + 60 * MS), []),
     ],
 )
-def test_final_answers(record: Record, broken: list[str]) -> None:
+def test_a_missing_late_repeated_or_unfounded_final_answer_is_reported(
+    record: Record, broken: list[str]
+) -> None:
     assert broken_rules(record) == broken
 
 
--- a/tests/trials/test_shutdown.py
+++ b/tests/trials/test_shutdown.py
@@ -12,7 +12,7 @@
 from peattrestle.trials.environment import TrialEnvironment, free_port
 from peattrestle.trials.exchange import Behaviour
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 TIME_IN_SERVICE = 1_000 * MS
 AFTER_RESTART = 1_000 * MS
 
