--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -49,14 +49,17 @@
 
 
 def host(name: str, number: int, state: str = "SERVING", **more: Any) -> dict[str, Any]:
+    """Returns an exchange as the feed encodes it."""
     return {"host": name, "dial": f"127.0.1.{number}:3868", "block": number, "health": state} | more
 
 
 def event(n: int, *hosts: dict[str, Any], whole: bool = False) -> dict[str, Any]:
+    """Returns the feed event `n` with these exchanges; `whole`: they are the full list."""
     return {"n": n, "members": {"seq": n, "whole": whole, "hosts": list(hosts)}}
 
 
 def config_text(**more: Any) -> str:
+    """Returns a valid configuration with the exchanges s0 (the agent's own number), s1, s2; `more` replaces keys."""
     members = event(1, host("s0", 0), host("s1", 1), host("s2", 2), whole=True)
     tree = {
         "name": "n0", "listen": "127.0.0.1:3868", "seed": "8c1f", "limits": {"sockets": 96},
@@ -68,6 +71,7 @@
 def invite(
     tag: str = TAG, legs: str = "dest:1;width:1;via:-1", body: str = DESCRIPTION, **more: str
 ) -> bytes:
+    """Returns an INVITE; `more` replaces header fields, and '' leaves a field out."""
     fields = {
         "Via": "SIP/2.0/TCP peer", "Call-ID": tag, "CSeq": "1 INVITE", "X-Cos": "line", "X-Timer-Ms": "1200",
         "X-Legs": legs, "Content-Length": str(len(body.encode())),
@@ -77,6 +81,7 @@
 
 
 def request(method: str, tag: str = TAG, more: str = "") -> bytes:
+    """Returns a request without a body; `more` are further header lines."""
     return (
         f"{method} sip:7f3a@net SIP/2.0\r\nCall-ID: {tag}\r\nCSeq: 2 {method}\r\n{more}"
         "Content-Length: 0\r\n\r\n"
@@ -130,16 +135,20 @@
         stream.write(json.dumps({"opts": {}} | more).encode() + b"\n")
 
     def answer_call(self, stream: Stream, line: Line) -> None:
+        """Answers the set-up in `line` on `stream`."""
         self.send(stream, verb="STARTED", tag=line.tag, blob=ANSWER_DESCRIPTION)
 
     def reject_with(self, rc: int, note: str = "") -> Callable[[Stream, Line], None]:
+        """Returns a handler for `on_set_up` that releases each call with this cause and note."""
         opts = {"note": note} if note else {}
         return lambda stream, line: self.send(stream, verb="FINISH", tag=line.tag, rc=rc, opts=opts)
 
     def received_verbs(self) -> list[str]:
+        """Returns the types of the lines received, without probes."""
         return [line.verb for line in self.lines if line.verb != "ECHO"]
 
     def crash(self) -> None:
+        """Resets all connections and refuses new ones."""
         self.listener.close()
         for stream in self.streams:
             stream.abort()
@@ -170,9 +179,11 @@
             self.stream.write(piece)
 
     def statuses(self, method: str = "INVITE") -> list[int]:
+        """Returns the statuses of the responses to requests with this method."""
         return [m.status for m in self.messages if m.status and m.fields.get("cseq", "").endswith(method)]
 
     def release_reasons(self) -> list[str]:
+        """Returns the Reason fields of the releases received."""
         return [m.fields["reason"] for m in self.messages if m.method == "BYE"]
 
 
@@ -215,6 +226,7 @@
 
 
 def encode_event(n: int, *hosts: dict[str, Any]) -> bytes:
+    """Returns the feed event `n` as the bytes of a server-sent event."""
     return f"id: {n}\ndata: {json.dumps(event(n, *hosts))}\n\n".encode()
 
 
@@ -231,6 +243,7 @@
         self.open(more)
 
     def open(self, more: dict[str, Any]) -> None:
+        """Starts the peers and the agent; `more` replaces keys of the configuration."""
         self.logs: list[tuple[str, str]] = []
         self.ended = False
         self.exchanges = {number: Exchange(self, number) for number in (1, 2)}
@@ -876,6 +889,7 @@
 
 
 def apply_feed_event(harness: Harness, n: int, *hosts: dict[str, Any]) -> None:
+    """Applies the feed event `n` to the agent without its feed connection."""
     for change in harness.agent.feed_state.apply_known({"n": n, "events": [event(n, *hosts)]}):
         harness.agent.apply_change(change)
 
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -30,6 +30,7 @@
 
 
 def listening(address: str = "127.0.3.1") -> tuple[socket.socket, str]:
+    """Returns a listening socket and its address with port."""
     sock = socket.create_server((address, 0))
     sock.settimeout(TIMEOUT)
     return sock, f"{address}:{sock.getsockname()[1]}"
