--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -59,7 +59,7 @@
 
 
 def config_text(**more: Any) -> str:
-    """Returns a valid configuration with the exchanges s0 (the agent's own number), s1, s2; `more` replaces keys."""
+    """Returns a valid configuration with the exchanges s0 (own number), s1 and s2; `more` replaces keys."""
     members = event(1, host("s0", 0), host("s1", 1), host("s2", 2), whole=True)
     tree = {
         "name": "n0", "listen": "127.0.0.1:3868", "seed": "8c1f", "limits": {"sockets": 96},
