--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -49,14 +49,17 @@
 
 
 def host(name: str, number: int, state: str = "SERVING", **more: Any) -> dict[str, Any]:
+    """Returns an exchange as the feed encodes it."""
     return {"host": name, "dial": f"127.0.1.{number}:3868", "block": number, "health": state} | more
 
 
 def event(n: int, *hosts: dict[str, Any], whole: bool = False) -> dict[str, Any]:
+    """Returns the feed event `n` with these exchanges; `whole`: they are the full list."""
     return {"n": n, "members": {"seq": n, "whole": whole, "hosts": list(hosts)}}
 
 
 def config_text(**more: Any) -> str:
+    """Returns a valid configuration with the exchanges s0 (own number), s1 and s2; `more` replaces keys."""
     members = event(1, host("s0", 0), host("s1", 1), host("s2", 2), whole=True)
     tree = {
         "name": "n0", "listen": "127.0.0.1:3868", "seed": "8c1f", "limits": {"sockets": 96},
@@ -68,6 +71,7 @@
 def invite(
     tag: str = TAG, legs: str = "dest:1;width:1;via:-1", body: str = DESCRIPTION, **more: str
 ) -> bytes:
+    """Returns an INVITE; `more` replaces header fields, and '' leaves a field out."""
     fields = {
         "Via": "SIP/2.0/TCP peer", "Call-ID": tag, "CSeq": "1 INVITE", "X-Cos": "line", "X-Timer-Ms": "1200",
         "X-Legs": legs, "Content-Length": str(len(body.encode())),
@@ -77,6 +81,7 @@
 
 
 def request(method: str, tag: str = TAG, more: str = "") -> bytes:
+    """Returns a request without a body; `more` are further header lines."""
     return (
         f"{method} sip:7f3a@net SIP/2.0\r\nCall-ID: {tag}\r\nCSeq: 2 {method}\r\n{more}"
         "Content-Length: 0\r\n\r\n"
@@ -130,16 +135,20 @@
         stream.write(json.dumps({"opts": {}} | more).encode() + b"\n")
 
     def answer_call(self, stream: Stream, line: Line) -> None:
+        """Answers the set-up in `line` on `stream`."""
         self.send(stream, verb="STARTED", tag=line.tag, blob=ANSWER_DESCRIPTION)
 
     def reject_with(self, rc: int, note: str = "") -> Callable[[Stream, Line], None]:
+        """Returns a handler for `on_set_up` that releases each call with this cause and note."""
         opts = {"note": note} if note else {}
         return lambda stream, line: self.send(stream, verb="FINISH", tag=line.tag, rc=rc, opts=opts)
 
     def received_verbs(self) -> list[str]:
+        """Returns the types of the lines received, without probes."""
         return [line.verb for line in self.lines if line.verb != "ECHO"]
 
     def crash(self) -> None:
+        """Resets all connections and refuses new ones."""
         self.listener.close()
         for stream in self.streams:
             stream.abort()
@@ -170,9 +179,11 @@
             self.stream.write(piece)
 
     def statuses(self, method: str = "INVITE") -> list[int]:
+        """Returns the statuses of the responses to requests with this method."""
         return [m.status for m in self.messages if m.status and m.fields.get("cseq", "").endswith(method)]
 
     def release_reasons(self) -> list[str]:
+        """Returns the Reason fields of the releases received."""
         return [m.fields["reason"] for m in self.messages if m.method == "BYE"]
 
 
@@ -215,6 +226,7 @@
 
 
 def encode_event(n: int, *hosts: dict[str, Any]) -> bytes:
+    """Returns the feed event `n` as the bytes of a server-sent event."""
     return f"id: {n}\ndata: {json.dumps(event(n, *hosts))}\n\n".encode()
 
 
@@ -231,6 +243,7 @@
         self.open(more)
 
     def open(self, more: dict[str, Any]) -> None:
+        """Starts the peers and the agent; `more` replaces keys of the configuration."""
         self.logs: list[tuple[str, str]] = []
         self.ended = False
         self.exchanges = {number: Exchange(self, number) for number in (1, 2)}
@@ -522,25 +535,25 @@
     "no class": (invite(X_Cos=""), 400),
     "unknown class": (invite(X_Cos="gold"), 400),
     "no timer": (invite(X_Timer_Ms=""), 400),
-    "timer no number": (invite(X_Timer_Ms="1e3"), 400),
+    "timer not a number": (invite(X_Timer_Ms="1e3"), 400),
     "timer out of range": (invite(X_Timer_Ms="99999999999999999999"), 400),
     "timer negative": (invite(X_Timer_Ms="-5"), 400),
     "no destination": (invite(legs="width:1"), 400),
-    "destination no number": (invite(legs="dest:x"), 400),
+    "destination not a number": (invite(legs="dest:x"), 400),
     "destination unknown": (invite(legs="dest:77"), 503),
     "width out of range": (invite(legs="dest:1;width:0"), 400),
-    "figures twice": (invite(legs="dest:1;dest:2"), 400),
-    "at no exchange": (invite(legs="dest:1;at:a b"), 400),
+    "field of X-Legs twice": (invite(legs="dest:1;dest:2"), 400),
+    "invalid exchange name": (invite(legs="dest:1;at:a b"), 400),
     "no description": (invite(body=""), 400),
     "another method in CSeq": (invite(CSeq="1 BYE"), 400),
     "wrong length": (invite(Content_Length="x"), 400),
     "huge length": (invite(Content_Length="60000000"), 413),
     "noise": (b"\x00\x01\x02\r\n\r\n", 400),
     "unknown method": (request("SUBSCRIBE"), 501),
-    "release of nothing": (request("BYE"), 481),
-    "taking back nothing": (request("CANCEL"), 481),
-    "no end": (b"INVITE sip:a@net SIP/2.0\r\nX: ", 408),
-    "half a body": (invite()[:-5], 408),
+    "release of an unknown call": (request("BYE"), 481),
+    "cancel of an unknown call": (request("CANCEL"), 481),
+    "incomplete header": (b"INVITE sip:a@net SIP/2.0\r\nX: ", 408),
+    "incomplete body": (invite()[:-5], 408),
     "silence": (b"", 408),
 }
 
@@ -622,9 +635,11 @@
         ([[4 * SECOND], [DRAINING_EVENT]], [1, 1], "draining"),
         ([[DRAINING_EVENT], [encode_event(2, host("s1", 1)), b""]], [1, 2], "draining"),
     ],
-    ids=["told", "repeated", "half", "gap", "spoilt", "stopped", "broken off"],
+    ids=["next event", "repeated", "truncated", "gap", "corrupt", "silent", "connection closed"],
 )  # fmt: skip
-def test_the_feed_is_followed(script: list[list[bytes | int]], requested_from: list[int], state: str) -> None:
+def test_each_feed_event_is_applied_once_despite_faults_of_the_feed(
+    script: list[list[bytes | int]], requested_from: list[int], state: str
+) -> None:
     harness = Harness()
     other = Feed(harness, "127.0.2.2:9092")
     other.script = script
@@ -689,7 +704,7 @@
     assert harness.ended
 
 
-def test_nothing_is_kept_of_many_calls() -> None:
+def test_no_state_remains_after_many_calls() -> None:
     harness = Harness()
     exchange = harness.exchanges[1]
     for number in range(400):
@@ -874,6 +889,7 @@
 
 
 def apply_feed_event(harness: Harness, n: int, *hosts: dict[str, Any]) -> None:
+    """Applies the feed event `n` to the agent without its feed connection."""
     for change in harness.agent.feed_state.apply_known({"n": n, "events": [event(n, *hosts)]}):
         harness.agent.apply_change(change)
 
