--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -24,13 +24,13 @@
     ESTABLISHED,
     FAILED,
     OPEN,
+    REFUSED,
     Call,
     Core,
     FinalAnswer,
     RouteTry,
     Unsent,
 )
-from peattrestle.calls.core import REFUSED as BLOCKED
 from peattrestle.calls.guard import Guard
 from peattrestle.control import Controller
 from peattrestle.exchangeline import lines
@@ -482,7 +482,7 @@
             return
         if final.kind == ANSWERED:
             data = sip.answer(mapping.ANSWERED, call.fields, call.description.encode())
-        elif final.kind == BLOCKED:
+        elif final.kind == REFUSED:
             data = sip.answer(mapping.REFUSED, call.fields, retry_after_ms=-(-final.retry_after // MS))
         else:
             data = sip.answer(mapping.OWN_FAULT if final.own_fault else mapping.FAILED, call.fields)
