--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -26,7 +26,7 @@
 from peattrestle.agent import listing, mapping
 from peattrestle.agent.calls import Call, RouteTry
 from peattrestle.agent.link import Link, Release
-from peattrestle.agent.registry import Registry
+from peattrestle.agent.registry import RegistryClient
 from peattrestle.agent.requester import Requester, RequesterTable
 from peattrestle.agent.storms import Storms
 from peattrestle.calls.core import ANSWERED, OPEN, REFUSED, Core, FinalAnswer, Log, Unsent
@@ -780,10 +780,10 @@
             yield from self.kernel.sleep(round(wait * (1 + rng.random()) / 2))
             wait = min(2 * wait, links.retry_most)
 
-    def registry(self) -> Registry:
+    def registry(self) -> RegistryClient:
         """The client that follows the exchange list in the key-value registry."""
         links, registry_settings = self.settings.links, self.settings.registry
-        return Registry(
+        return RegistryClient(
             self.kernel,
             registry_settings.endpoints,
             registry_settings.prefix,
--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -28,7 +28,7 @@
 MAX_LINE_BYTES = 4 << 20  # of one message of a watch
 
 
-class Registry:
+class RegistryClient:
     """The registry client of one agent. All times are nanoseconds.
 
     `on_update(is_full, update)` receives the changes of the list in order; the first complete list is full.
--- a/tests/registry/test_source.py
+++ b/tests/registry/test_source.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from peattrestle.agent.registry import Registry
+from peattrestle.agent.registry import RegistryClient
 from peattrestle.membership.exchange_list import MembershipUpdate
 from peattrestle.runtime import Coroutine, Kernel
 from peattrestle.runtime.epoll import EpollKernel
@@ -32,7 +32,7 @@
         self.update_count = 0
         self.counts: dict[str, int] = {}
         self.logs: list[tuple[str, dict[str, Any]]] = []
-        self.client = Registry(
+        self.client = RegistryClient(
             kernel,
             (self.registry.address,),
             "/hubs/",
