--- a/peattrestle/agent/storms.py
+++ b/peattrestle/agent/storms.py
@@ -71,7 +71,7 @@
                     else "gateway limits lifted",
                     carried=round(self.admission.answered.rate(now), 1),
                     offered=round(self.detector.offered(now), 1),
-                    turned_away=self.admission.turned_away,
+                    turned_away=self.admission.refused_here,
                 )
             self.send_notices(self.notices.due_notices(now, self.admission.limits_to_announce()))
 
--- a/peattrestle/storms/gateway_admission.py
+++ b/peattrestle/storms/gateway_admission.py
@@ -99,7 +99,7 @@
             DecayingCounter(HALF_LIFE),
         )
         self.is_limiting = False
-        self.turned_away = 0  # calls refused here
+        self.refused_here = 0  # calls refused by this admission control
         self._best_rate, self._best_at = 0.0, 0
         self._threshold_passed_at = -1  # ns, since when `is_limiting` is due to change; -1: it is not
         self._next_update_at = 0
@@ -128,7 +128,7 @@
         demand.add(now, revenue)
         self.update(now)
         if self.is_limiting and draw >= demand.admission_probability.get(revenue, 1.0):
-            self.turned_away += 1
+            self.refused_here += 1
             return False
         self.admitted.add(now)
         return True
