--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -39,7 +39,7 @@
     max_delay: int = 2 * MS
     split_probability: float = 0.1
     window: int = 262144
-    cut: Callable[[str, str], bool] = lambda source, address: False
+    is_cut: Callable[[str, str], bool] = lambda source, address: False
     cut_check_interval: int = 20 * MS
 
 
@@ -101,7 +101,7 @@
         def arrive() -> None:
             if self._lost_reason or self._closed and self.other._closed:
                 return
-            if self.kernel.network.cut(self.source, self.peer):
+            if self.kernel.network.is_cut(self.source, self.peer):
                 self._last_arrival = self.kernel.now() + self.kernel.network.cut_check_interval
                 self.kernel.call_at(self._last_arrival, arrive)
             else:
@@ -285,7 +285,7 @@
         self._port += 1
         here = VirtualStream(self, source, address)
         yield from self.sleep(min(2 * here.delay, timeout))
-        if self.network.cut(source, address):
+        if self.network.is_cut(source, address):
             yield from self.sleep(max(0, timeout - 2 * here.delay))
             raise ConnectFailed(f"{address}: no answer")
         listener = self.listeners.get(address)
--- a/tests/platform/test_agent.py
+++ b/tests/platform/test_agent.py
@@ -514,7 +514,7 @@
                 lambda: exchange.send(exchange.streams[-1], verb="FINISH", tag="00000000000000bb", rc=47),
             )
     else:
-        harness.kernel.network.cut = lambda source, address: "127.0.1.1:3868" in (source, address)
+        harness.kernel.network.is_cut = lambda source, address: "127.0.1.1:3868" in (source, address)
     harness.advance(2700)
     if errors_continue:
         assert len(exchange.streams) > 2  # the first connections were closed
@@ -522,7 +522,7 @@
     assert not harness.agent.links["s1"].is_up and caller.release_reasons() == []
     harness.advance(5000)
     assert caller.release_reasons() == ["Q.850;cause=41"]
-    harness.kernel.network.cut = lambda source, address: False
+    harness.kernel.network.is_cut = lambda source, address: False
     exchange.silent = False
     harness.advance(1500)
     assert harness.agent.links["s1"].is_up
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -375,10 +375,10 @@
 
     def body() -> Coroutine[bytes]:
         here, there, _ = yield from connected_pair(kernel)
-        kernel.network.cut = lambda source, address: True
+        kernel.network.is_cut = lambda source, address: True
         here.write(b"first")
         yield from kernel.sleep(30 * MS)
-        kernel.network.cut = lambda source, address: False
+        kernel.network.is_cut = lambda source, address: False
         here.write(b"second")
         here.close_write()
         return (yield from read_all(there))
