--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -223,7 +223,7 @@
         host, port = sock.getsockname()
         self.address = f"{host}:{port}"
         self.handle = Handle(kernel, sock, self._on_event)
-        self.shed = 0
+        self.shed_count = 0
         self._waiter: Waiter | None = None
         self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
 
@@ -273,7 +273,7 @@
             self._spare_descriptor = -1
         with contextlib.suppress(OSError):
             self.handle.sock.accept()[0].close()
-            self.shed += 1
+            self.shed_count += 1
         with contextlib.suppress(OSError):
             self._spare_descriptor = os.open(os.devnull, os.O_RDONLY)
 
--- a/peattrestle/runtime/kernel.py
+++ b/peattrestle/runtime/kernel.py
@@ -298,7 +298,7 @@
     """A listening port."""
 
     address: str = ""
-    shed: int = 0  # connections closed at once because the process had no file descriptors left
+    shed_count: int = 0  # connections closed at once because the process had no file descriptors left
 
     def accept(self) -> Coroutine[Stream]:
         """Waits for the next connection. Raises `ConnectionLost` once the port is closed."""
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -214,7 +214,7 @@
         self.pending: deque[VirtualStream] = deque()
         self.adopt: Callable[[VirtualStream], None] = lambda stream: None
         self._waiter: Waiter | None = None
-        self.shed = 0
+        self.shed_count = 0
         self._closed = False
 
     def enqueue(self, stream: VirtualStream) -> None:
--- a/tests/runtime/test_kernels.py
+++ b/tests/runtime/test_kernels.py
@@ -310,7 +310,7 @@
         yield from kernel.connect(listener.address, 500 * MS)
         yield from kernel.sleep(100 * MS)
         assert len(accepted) == 4
-        return listener.shed, end
+        return listener.shed_count, end
 
     assert run(kernel, body()) == (1, b"")
     kernel.close()
