--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -20,7 +20,7 @@
     RequestWatch,
     Wait,
 )
-from peattrestle.registry.http import BadAnswer, Conversation, End, Head, LineSplitter, Part
+from peattrestle.registry.http import BadAnswer, End, Head, HttpRequest, LineSplitter, Part
 from peattrestle.runtime import ConnectFailed, ConnectionLost, Coroutine, Kernel, Stream, TimedOut
 
 Log = Callable[..., None]
@@ -141,7 +141,7 @@
         endpoint = self.endpoints[0]
         stream = yield from self.kernel.connect(endpoint, self.dial_timeout, self.label)
         try:
-            conversation = Conversation(endpoint, f"peattrestle/{self.label}")
+            conversation = HttpRequest(endpoint, f"peattrestle/{self.label}")
             if isinstance(step, RequestRead):
                 stream.write(conversation.post(etcd.RANGE, etcd.range_request(self.prefix)))
                 result = yield from self.kernel.with_timeout(
@@ -158,7 +158,7 @@
         finally:
             stream.close()
 
-    def read_answer(self, stream: Stream, conversation: Conversation) -> Coroutine[bytes | etcd.ErrorAnswer]:
+    def read_answer(self, stream: Stream, conversation: HttpRequest) -> Coroutine[bytes | etcd.ErrorAnswer]:
         """Reads a complete answer, or the error that the registry named. Raises ConnectionLost, BadAnswer."""
         body, status = bytearray(), 0
         while True:
@@ -175,7 +175,7 @@
             if not data:
                 raise ConnectionLost("connection closed before the end of the answer")
 
-    def follow_watch(self, stream: Stream, conversation: Conversation) -> Coroutine[list[Action]]:
+    def follow_watch(self, stream: Stream, conversation: HttpRequest) -> Coroutine[list[Action]]:
         """Follows a watch until it ends; returns the next steps.
 
         Raises ConnectionLost, TimedOut, BadAnswer.
--- a/peattrestle/registry/http.py
+++ b/peattrestle/registry/http.py
@@ -36,7 +36,7 @@
 Piece = Head | Part | End
 
 
-class Conversation:
+class HttpRequest:
     """One request and its answer. `host` and `agent` are the values of the Host and User-Agent fields."""
 
     def __init__(self, host: str, agent: str = "peattrestle") -> None:
