--- a/peattrestle/agent/registry.py
+++ b/peattrestle/agent/registry.py
@@ -141,29 +141,29 @@
         endpoint = self.endpoints[0]
         stream = yield from self.kernel.connect(endpoint, self.dial_timeout, self.label)
         try:
-            conversation = HttpRequest(endpoint, f"peattrestle/{self.label}")
+            http_request = HttpRequest(endpoint, f"peattrestle/{self.label}")
             if isinstance(step, RequestRead):
-                stream.write(conversation.post(etcd.RANGE, etcd.range_request(self.prefix)))
+                stream.write(http_request.post(etcd.RANGE, etcd.range_request(self.prefix)))
                 result = yield from self.kernel.with_timeout(
                     self.answer_timeout,
-                    self.read_answer(stream, conversation),
+                    self.read_answer(stream, http_request),
                     "timed out waiting for the registry's answer",
                 )
                 if isinstance(result, etcd.ErrorAnswer):
                     return self.follower.on_error(result, self.rng.random())
                 return self.follower.on_read(etcd.read_range(result))
             assert isinstance(step, RequestWatch)
-            stream.write(conversation.post(etcd.WATCH, etcd.watch_request(self.prefix, step.since)))
-            return (yield from self.follow_watch(stream, conversation))
+            stream.write(http_request.post(etcd.WATCH, etcd.watch_request(self.prefix, step.since)))
+            return (yield from self.follow_watch(stream, http_request))
         finally:
             stream.close()
 
-    def read_answer(self, stream: Stream, conversation: HttpRequest) -> Coroutine[bytes | etcd.ErrorAnswer]:
+    def read_answer(self, stream: Stream, http_request: HttpRequest) -> Coroutine[bytes | etcd.ErrorAnswer]:
         """Reads a complete answer, or the error that the registry named. Raises ConnectionLost, BadAnswer."""
         body, status = bytearray(), 0
         while True:
             data = yield from stream.read()
-            for piece in conversation.feed(data):
+            for piece in http_request.feed(data):
                 if isinstance(piece, Head):
                     status = piece.status
                 elif isinstance(piece, Part):
@@ -175,7 +175,7 @@
             if not data:
                 raise ConnectionLost("connection closed before the end of the answer")
 
-    def follow_watch(self, stream: Stream, conversation: HttpRequest) -> Coroutine[list[Action]]:
+    def follow_watch(self, stream: Stream, http_request: HttpRequest) -> Coroutine[list[Action]]:
         """Follows a watch until it ends; returns the next steps.
 
         Raises ConnectionLost, TimedOut, BadAnswer.
@@ -191,7 +191,7 @@
                     raise
                 self.count("registry_quiet")
                 return self.follower.start_request()
-            for piece in conversation.feed(data):
+            for piece in http_request.feed(data):
                 if isinstance(piece, Head):
                     status = piece.status
                 elif isinstance(piece, Part):
