--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -638,7 +638,7 @@
                         self.handle_gateway_request(requester, event.request.id, event.request.actions)
                     elif isinstance(event, MalformedMessage):
                         self.counts.add("garbled")
-                        self.log("warning", "malformed message", gateway=stream.peer, fault=str(event.fault))
+                        self.log("warning", "malformed message", gateway=stream.peer, fault=str(event.error))
                 if stream.unsent > limits.unread:
                     reason = f"gateway left {stream.unsent} bytes unread"
                     stream.abort()
--- a/peattrestle/cli/caller.py
+++ b/peattrestle/cli/caller.py
@@ -36,7 +36,7 @@
         while data := (yield from stream.read()):
             for message in session.feed(kernel.now(), data):
                 if isinstance(message, MalformedMessage):
-                    answer["text"] = str(message.fault)
+                    answer["text"] = str(message.error)
                 elif isinstance(message, ReplyReceived) and message.attachment == "add":
                     outcome = package.read_outcome(message.reply)
                     answer_texts = {0: "stands", package.REFUSED: "refused", package.FAILED: "failed"}
--- a/peattrestle/h248/session.py
+++ b/peattrestle/h248/session.py
@@ -32,7 +32,7 @@
 class MalformedMessage:
     """A message that could not be parsed; the error has been sent to the peer."""
 
-    fault: text.Malformed
+    error: text.Malformed
 
 
 SessionEvent = NewRequest | ReplyReceived | PendingReceived | UnknownTransaction | MalformedMessage
