--- a/peattrestle/h248/tpkt.py
+++ b/peattrestle/h248/tpkt.py
@@ -52,6 +52,6 @@
         del buffer[:offset]
         return messages
 
-    def pending(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes received of an incomplete frame."""
         return len(self._buffer)
--- a/tests/h248/test_conversation.py
+++ b/tests/h248/test_conversation.py
@@ -29,7 +29,7 @@
     for offset in range(0, len(data), step):
         messages += framer.feed(data[offset : offset + step])
     assert messages == [b"one", b"x" * 50, b"three"]
-    assert framer.pending() == 0
+    assert framer.buffered_bytes() == 0
 
 
 @pytest.mark.parametrize(
