--- a/peattrestle/agent/agent.py
+++ b/peattrestle/agent/agent.py
@@ -395,12 +395,12 @@
         self.terminations[route_try.termination] = route_try
         return route_try
 
-    def release_try(self, route_try: RouteTry, tell: bool) -> None:
-        """Forgets a route try; `tell`: the exchange is sent a Subtract, as it may hold a circuit for it."""
+    def release_try(self, route_try: RouteTry, send_release: bool) -> None:
+        """Forgets a route try; `send_release`: the exchange is sent a Subtract, as it may hold a circuit."""
         if route_try.state == "out":
             route_try.link.transactions.close(route_try.transaction_id)
         self.terminations.pop(route_try.termination, None)
-        if tell:
+        if send_release:
             route_try.link.release(route_try.context, route_try.termination, route_try.call.id)
 
     def reply(self, call: Call, final: FinalAnswer) -> None:
@@ -480,7 +480,7 @@
         for route_try in route_tries:
             if route_try.state == "out":
                 self.counts.add("resets")
-                self.fail_try(route_try, "reset", tell=True, cut_off=True)
+                self.fail_try(route_try, "reset", send_release=True, cut_off=True)
         if self.is_own(link.exchange):
             self.own_exchange.session = self.own_exchange.stream = None
             self.own_exchange.disconnected_at = self.kernel.now()
@@ -528,7 +528,7 @@
             self.fail_try(
                 route_try,
                 result,
-                tell=False,
+                send_release=False,
                 cut_off=False,
                 cause=cause,
                 wait=outcome.wait,
@@ -585,7 +585,7 @@
             if route_try is None:
                 return
             if route_try.state == "out":
-                self.fail_try(route_try, "reset", tell=True, cut_off=True)
+                self.fail_try(route_try, "reset", send_release=True, cut_off=True)
             elif route_try.state == "stands":
                 self.on_call_cut(route_try)
 
@@ -595,7 +595,7 @@
         self.counts.add("cut")
         if call.attempt is not None:
             self.storms.detector.record_cut(self.kernel.now(), call.requester.name)
-        self.end_try(route_try, tell=False)
+        self.end_try(route_try, send_release=False)
         self.forget(call)
         self.post(api.TryEnded(call.id, route_try.exchange, "reset", 0, route_try.number, True))
         call.requester.notify(
--- a/peattrestle/calls/core.py
+++ b/peattrestle/calls/core.py
@@ -134,10 +134,10 @@
         """Sends the set-up of route try `number`; returns the try, or why it was not sent."""
         raise NotImplementedError
 
-    def release_try(self, route_try: TryT, tell: bool) -> None:
+    def release_try(self, route_try: TryT, send_release: bool) -> None:
         """Releases what the front end holds for a finished route try.
 
-        `tell`: the exchange may still hold resources for the try, so it is sent a release.
+        `send_release`: the exchange may still hold resources for the try, so it is sent a release.
         """
         raise NotImplementedError
 
@@ -270,7 +270,7 @@
         """Cancels the pending try, if any, of a call that is itself over."""
         route_try = call.pending_try
         if route_try is not None:
-            self.end_try(route_try, tell=True)
+            self.end_try(route_try, send_release=True)
             self.guard.on_try_ended(self.kernel.now(), call.id, True)
             self.post(
                 api.TryEnded(
@@ -289,7 +289,7 @@
             self.caller_left(call)
             return
         if call.answered_try is not None:
-            self.end_try(call.answered_try, tell=True)
+            self.end_try(call.answered_try, send_release=True)
         self.forget(call)
 
     def forget(self, call: CallT) -> None:
@@ -349,13 +349,13 @@
         """Ends a try that the exchange has not responded to in time."""
         if route_try.state == "out":
             self.counts.add("timeouts")
-            self.fail_try(route_try, "timeout", tell=True, cut_off=True)
+            self.fail_try(route_try, "timeout", send_release=True, cut_off=True)
 
     def fail_try(
         self,
         route_try: TryT,
         result: str,
-        tell: bool,
+        send_release: bool,
         cut_off: bool,
         cause: str = "",
         wait: int = 0,
@@ -371,7 +371,7 @@
         call.cause = cause
         if self.tracing:
             self.log_try("route try ended", route_try, result=result, cause=cause)
-        self.end_try(route_try, tell)
+        self.end_try(route_try, send_release)
         self.guard.on_try_ended(now, call.id, cut_off)
         self.post(
             api.TryEnded(
@@ -387,14 +387,14 @@
             )
         )
 
-    def end_try(self, route_try: TryT, tell: bool) -> None:
+    def end_try(self, route_try: TryT, send_release: bool) -> None:
         """Ends a try locally.
 
-        `tell`: the exchange may still hold resources for it, so it is sent a release.
+        `send_release`: the exchange may still hold resources for it, so it is sent a release.
         """
         if route_try.timer is not None:
             route_try.timer.cancel()
-        self.release_try(route_try, tell)
+        self.release_try(route_try, send_release)
         route_try.state = "over"
         if route_try.call.pending_try is route_try:
             route_try.call.pending_try = None
@@ -471,7 +471,7 @@
             self.reply(call, final)
         if final.kind != ANSWERED or violated_rule:
             if call.answered_try is not None:
-                self.end_try(call.answered_try, tell=True)
+                self.end_try(call.answered_try, send_release=True)
             self.forget(call)
         elif call.answer_timer is not None:
             call.answer_timer.cancel()
--- a/peattrestle/platform/agent.py
+++ b/peattrestle/platform/agent.py
@@ -274,7 +274,9 @@
         self.remove_link(link)
         for route_try in list(link.tries.values()):
             waited = route_try.connection is None
-            self.fail_try(route_try, "connect_failed" if waited else "reset", tell=False, cut_off=not waited)
+            self.fail_try(
+                route_try, "connect_failed" if waited else "reset", send_release=False, cut_off=not waited
+            )
         self.end_calls_at(link.exchange)
 
     def retire_link(self, exchange: str) -> None:
@@ -433,7 +435,7 @@
         self.counts.add("ended" if cause == lines.NORMAL else "cut")
         self.log("debug", "call over", reference=call.request.tag, cause=cause)
         if call.answered_try is not None:
-            self.end_try(call.answered_try, tell=False)
+            self.end_try(call.answered_try, send_release=False)
         self.send_release(call, cause)
         self.forget(call)
 
@@ -457,15 +459,15 @@
         link.send_set_up(route_try, request.tag, data)
         return route_try
 
-    def release_try(self, route_try: LinkTry, tell: bool) -> None:
+    def release_try(self, route_try: LinkTry, send_release: bool) -> None:
         tag, link = route_try.call.request.tag, route_try.link
         if route_try.state == "out":
-            link.remove_try(route_try, tag, lines.encode_release(tag, lines.NORMAL) if tell else b"")
+            link.remove_try(route_try, tag, lines.encode_release(tag, lines.NORMAL) if send_release else b"")
             return
         calls_there = self.established_calls.get(route_try.exchange, {})
         if calls_there.pop(tag, None) is not None and not calls_there:
             del self.established_calls[route_try.exchange]
-        if tell:
+        if send_release:
             self.release_at_exchange(link, tag, lines.encode_release(tag, route_try.call.release_cause))
 
     def release_at_exchange(self, link: Link, tag: str, data: bytes) -> None:
@@ -521,7 +523,7 @@
         member = self.members.get(link.exchange)
         for tag, data in waiting.items():
             if member is None or member.state != READY:  # it began draining while they waited
-                self.fail_try(link.tries[tag], "connect_failed", tell=False, cut_off=False)
+                self.fail_try(link.tries[tag], "connect_failed", send_release=False, cut_off=False)
             else:
                 link.send_set_up(link.tries[tag], tag, data)
         for tag, data in self.undelivered_releases.pop(link.exchange, ()):
@@ -537,14 +539,14 @@
         for tag, data in unconfirmed:
             self.release_at_exchange(link, tag, data)
         for route_try in tries:
-            self.fail_try(route_try, "reset", tell=False, cut_off=True)
+            self.fail_try(route_try, "reset", send_release=False, cut_off=True)
         if link.retired and not link.is_up:
             self.end_calls_at(link.exchange)
 
     def fail_waiting_tries(self, link: Link) -> None:
         """Ends the tries whose set-up still waits for a connection."""
         for tag in list(link.waiting):
-            self.fail_try(link.tries[tag], "connect_failed", tell=False, cut_off=False)
+            self.fail_try(link.tries[tag], "connect_failed", send_release=False, cut_off=False)
 
     def on_link_refused(self, link: Link, nothing_listens: bool) -> None:
         """Handles a failed connection attempt.
@@ -576,7 +578,7 @@
                 self.counts.add("stray_answers")
             elif not line.blob:
                 self.counts.add("spoilt_answers")
-                self.fail_try(route_try, "reset", tell=True, cut_off=True)
+                self.fail_try(route_try, "reset", send_release=True, cut_off=True)
             else:
                 link.remove_try(route_try, line.tag, b"")
                 route_try.call.description = line.blob
@@ -590,7 +592,7 @@
                 result = mapping.RESULTS.get(line.rc, "reset")
                 cause = mapping.CAUSES.get(str(line.opts.get("note", "")), "")
                 self.fail_try(
-                    route_try, result, tell=False, cut_off=result == "reset", cause=cause, load=load
+                    route_try, result, send_release=False, cut_off=result == "reset", cause=cause, load=load
                 )
                 return
             self.handle_exchange_release(link, line)
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -28,7 +28,7 @@
     caller = harness.caller(invite())
     (call,) = harness.agent.calls.values()
     assert call.pending_try is not None
-    harness.agent.fail_try(call.pending_try, "full", tell=False, cut_off=False, cause="lines_busy")
+    harness.agent.fail_try(call.pending_try, "full", send_release=False, cut_off=False, cause="lines_busy")
     harness.agent.on_answer_overdue(call)
     harness.advance(100)
     assert caller.statuses() == [503]
