--- a/peattrestle/wirehost/parse.py
+++ b/peattrestle/wirehost/parse.py
@@ -112,7 +112,7 @@
     return flat, tuple(protocol_names.LOAD.get(name, name) for name in value_at("Report.Fields") or ())
 
 
-def load(text: str, fields: tuple[str, ...]) -> dict[str, float]:
+def load_report(text: str, fields: tuple[str, ...]) -> dict[str, float]:
     """Parses a load report, a comma-separated row of values, into a map by the names in `fields`.
 
     Negative values mean "not reported" and are left out. Raises `Malformed`.
@@ -147,7 +147,7 @@
             line.text("Exchange"),
             protocol_names.RESULTS.get(line.text("Result"), "error"),
             line.integer("RttUs") * US,
-            load(line.text("Pressure"), fields),
+            load_report(line.text("Pressure"), fields),
         )
     if line.kind == "call":
         return api.CallArrived(
@@ -185,7 +185,7 @@
             line.flag("DoneFlag"),
             cause,
             wait,
-            load(line.text("Pressure"), fields),
+            load_report(line.text("Pressure"), fields),
         )
     if line.kind == "client_left":
         return api.CallerLeft(line.required("Id"))
