--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -31,7 +31,7 @@
 
     `min_delay`, `max_delay`: one-way delay in nanoseconds. `split_probability`: probability that a segment is
     split in two. `window`: bytes that a peer may have unread before further ones stay with the writer.
-    `cut(source, address)`: whether the two are cut off from each other now; bytes wait until they are not.
+    `is_cut(source, address)`: whether the two are cut off from each other now; bytes wait until they are not.
     `cut_check_interval`: nanoseconds between checks whether a cut has ended.
     """
 
