--- a/benchmarks/storms.py
+++ b/benchmarks/storms.py
@@ -126,7 +126,7 @@
         behaviour = self.traffic.behaviour
         if call.tries > behaviour.redials or self.is_closing:
             return
-        wait = round(behaviour.redial_least * 2**call.tries * self.draw.uniform(0.5, 1.0))
+        wait = round(behaviour.redial_least * 2**call.tries * self.rng.uniform(0.5, 1.0))
         now = self.kernel.now()
         if now + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
--- a/peattrestle/rehearsal/trouble.py
+++ b/peattrestle/rehearsal/trouble.py
@@ -31,7 +31,7 @@
     def __init__(self, world: World, hosts: Hosts) -> None:
         self.world, self.hosts = world, hosts
         self.kernel = world.kernel
-        self.draw = world.kernel.random_for("troubles")
+        self.rng = world.kernel.random_for("troubles")
         self.begun: dict[str, int] = {}
 
     def schedule(self, troubles: tuple[Trouble, ...], started: int) -> None:
@@ -44,7 +44,7 @@
         if trouble.who:
             return list(trouble.who)
         count = self.world.script.fleet.exchanges
-        return sorted(self.draw.sample(range(count), max(1, round(trouble.share * count))))
+        return sorted(self.rng.sample(range(count), max(1, round(trouble.share * count))))
 
     def begin(self, trouble: Trouble) -> None:
         """Begins a trouble now and schedules its end."""
@@ -149,7 +149,7 @@
     def begin_region_cut(self, trouble: Trouble) -> Callable[[], None]:
         """Exchanges of a region and those of other regions cannot reach each other."""
         network, regions = self.world.network, self.world.script.fleet.regions
-        region = trouble.region or self.draw.choice(regions)
+        region = trouble.region or self.rng.choice(regions)
         network.cut_regions.add(region)
 
         def end_cut() -> None:
@@ -164,7 +164,7 @@
         Established calls are cut until those left fit.
         """
         network, regions = self.world.network, self.world.script.fleet.regions
-        region = trouble.region or self.draw.choice(regions)
+        region = trouble.region or self.rng.choice(regions)
         groups = [
             group
             for group in network.groups.values()
@@ -192,7 +192,7 @@
         """The share `figure` of the established calls is cut."""
         for exchange in list(self.world.network.exchanges.values()):
             for peer, call in exchange.established_calls():
-                if self.draw.random() < trouble.figure:
+                if self.rng.random() < trouble.figure:
                     exchange.cut_call(peer, call)
 
     def begin_list_gone(self, trouble: Trouble) -> Callable[[], None]:
@@ -343,7 +343,7 @@
     def send_garbage(self, number: int) -> Coroutine[None]:
         """Sends each piece of garbage to agent `number` over a connection of its own."""
         messages = [
-            bytes(self.draw.randrange(256) for _ in range(200)),
+            bytes(self.rng.randrange(256) for _ in range(200)),
             b"\x03\x00\x00\x30MEGACO/1 <s> Tran",
             b"\x03\x00\x00\x15MEGACO/1 <s> T=1{",
             b"\x03\x00\xff\xff",
--- a/peattrestle/rehearsal/world.py
+++ b/peattrestle/rehearsal/world.py
@@ -101,10 +101,10 @@
         Groups have some spare circuits; the pairs with the least traffic have no group. Returns for each
         exchange the share of its calls by destination.
         """
-        fleet, draw = self.script.fleet, self.kernel.random_for("plan")
+        fleet, rng = self.script.fleet, self.kernel.random_for("plan")
         weights: list[dict[int, float]] = []
         for number in range(count):
-            row = {other: math.exp(draw.gauss(0, 0.6)) for other in range(count) if other != number}
+            row = {other: math.exp(rng.gauss(0, 0.6)) for other in range(count) if other != number}
             total = sum(row.values())
             weights.append({other: weight / total for other, weight in row.items()})
         total_share = sum(bearer.share for bearer in self.script.bearer)
--- a/peattrestle/standin/callers.py
+++ b/peattrestle/standin/callers.py
@@ -165,7 +165,7 @@
         self.label = f"{number}" + (f".{index}" if index else "")
         self.name = f"gateway {self.label}"
         self.mid = f"<g{self.label}>"  # H.248 message identifier
-        self.draw = kernel.random_for(self.name)
+        self.rng = kernel.random_for(self.name)
         self.transactions = Transactions(1, 100_000, 10_000)
         self.session: Session | None = None
         self.stream: Stream | None = None
@@ -205,12 +205,12 @@
                 self.failed_connections += 1
             self.on_connection_lost()
             behaviour = self.traffic.behaviour
-            yield from self.kernel.sleep(self.draw.randint(behaviour.restart_least, behaviour.restart_most))
+            yield from self.kernel.sleep(self.rng.randint(behaviour.restart_least, behaviour.restart_most))
             if behaviour.avalanche and not self.is_flooding and self.waiting_delay:
                 # H.248.1 restart avalanche procedure: a random delay that ends early when a caller dials.
                 self.dial_requested = Event(self.kernel)
                 try:
-                    delay = self.draw.randint(0, self.waiting_delay)
+                    delay = self.rng.randint(0, self.waiting_delay)
                     yield from self.kernel.with_timeout(delay, self.dial_requested.wait())
                 except TimedOut:
                     pass
@@ -301,24 +301,24 @@
         """Generates new calls as a Poisson process at the present rate of the traffic."""
         while not self.is_closing:
             rate = self.traffic.rate
-            wait = self.draw.expovariate(rate) if rate > 0 else 0.1
+            wait = self.rng.expovariate(rate) if rate > 0 else 0.1
             yield from self.kernel.sleep(min(round(wait * SECOND), SECOND))
             if rate > 0 and wait <= 1.0 and not self.is_closing:
                 self.start_call()
 
     def start_call(self) -> CallerCall:
         """Draws a new call and makes its first attempt."""
-        traffic, draw = self.traffic, self.draw
-        bearer = draw.choices(traffic.bearers, [bearer.share for bearer in traffic.bearers])[0]
+        traffic, rng = self.traffic, self.rng
+        bearer = rng.choices(traffic.bearers, [bearer.share for bearer in traffic.bearers])[0]
         if (
             traffic.hot_number is not None
             and traffic.hot_number[1] != self.number
-            and draw.random() < traffic.hot_number[2]
+            and rng.random() < traffic.hot_number[2]
         ):
             number, destination = traffic.hot_number[0], traffic.hot_number[1]
         else:
-            destination = draw.choices(list(traffic.destinations), list(traffic.destinations.values()))[0]
-            number = f"dn.{destination}.{draw.randrange(10_000)}"
+            destination = rng.choices(list(traffic.destinations), list(traffic.destinations.values()))[0]
+            number = f"dn.{destination}.{rng.randrange(10_000)}"
         call = CallerCall(bearer.name, destination, number, self.kernel.now())
         self.calls.append(call)
         self.dial(call)
@@ -360,11 +360,11 @@
             self.redial(call, 0)
             return
         abandon_after = round(
-            bearer.abandon_time * self.draw.uniform(behaviour.patience_least, behaviour.patience_most)
+            bearer.abandon_time * self.rng.uniform(behaviour.patience_least, behaviour.patience_most)
         )
         give_up_after = abandon_after
-        if behaviour.leaves_early and self.draw.random() < behaviour.leaves_early:
-            give_up_after = round(abandon_after * self.draw.uniform(0.1, 0.5))
+        if behaviour.leaves_early and self.rng.random() < behaviour.leaves_early:
+            give_up_after = round(abandon_after * self.rng.uniform(0.1, 0.5))
         self.attempt_count += 1
         call.tries += 1
         termination = f"c/{self.attempt_count}"
@@ -384,7 +384,7 @@
             attempt, lambda transaction_id: package.add_text(transaction_id, request)
         )
         self.attempts[termination] = attempt
-        if behaviour.repeats and self.draw.random() < behaviour.repeats:
+        if behaviour.repeats and self.rng.random() < behaviour.repeats:
             self.kernel.call_at(now + 50 * MS, lambda: self.resend(attempt, request))
         self.terminations[attempt.transaction_id] = termination
         if len(self.terminations) > 20_000:
@@ -451,7 +451,7 @@
         if call.established_at < 0 or not call.cut:
             call.established_at = now
         call.reestablished = call.cut
-        duration = round(self.draw.expovariate(1 / self.bearer(call).holding))
+        duration = round(self.rng.expovariate(1 / self.bearer(call).holding))
         attempt.timer = self.kernel.call_at(now + duration, lambda: self.hang_up(attempt))
 
     def abandon(self, attempt: Attempt) -> None:
@@ -510,7 +510,7 @@
         self.count("cut")
         self.finish(attempt)
         call.cut, call.reestablished, call.tries = True, False, 0
-        wait = self.draw.randint(behaviour.return_least, behaviour.return_most)
+        wait = self.rng.randint(behaviour.return_least, behaviour.return_most)
         self.kernel.call_at(
             self.kernel.now() + wait, lambda: None if self.is_closing else self.dial(call, True)
         )
@@ -523,8 +523,8 @@
         behaviour = self.traffic.behaviour
         if call.tries > behaviour.redials or self.is_closing:
             return
-        wait = self.draw.randint(behaviour.redial_least, behaviour.redial_most)
-        if retry_after and not self.is_flooding and self.draw.random() < behaviour.honours:
+        wait = self.rng.randint(behaviour.redial_least, behaviour.redial_most)
+        if retry_after and not self.is_flooding and self.rng.random() < behaviour.honours:
             wait = retry_after
         if self.kernel.now() + wait < call.first_at + self.bearer(call).abandon_time:
             if not self.ready:
--- a/peattrestle/standin/exchange.py
+++ b/peattrestle/standin/exchange.py
@@ -140,15 +140,15 @@
                 exchange.network.on_heal.append(self.flush)
             self.blocked_output.append(data)
             return
-        if socket_faults.garble and exchange.draw.random() < socket_faults.garble:
+        if socket_faults.garble and exchange.rng.random() < socket_faults.garble:
             match = re.search(rb"Add=(n/[^{]*)", data)
             if match is not None and self.peer is not None:
                 # An agent that cannot read the transaction id of a request cannot reply to it, so this
                 # request is recorded as dropped: the sender only finds out by its own timeout.
                 now, termination = exchange.kernel.now(), match.group(1).decode()
                 exchange.network.record.add(now, "dropped", exchange.name, self.peer.name, termination)
-            index = exchange.draw.randrange(4, len(data))
-            data = data[:index] + bytes([exchange.draw.choice(b'{}"=,\x00\xff')]) + data[index + 1 :]
+            index = exchange.rng.randrange(4, len(data))
+            data = data[:index] + bytes([exchange.rng.choice(b'{}"=,\x00\xff')]) + data[index + 1 :]
         if socket_faults.late_replies and b"Reply=" in data:
             exchange.kernel.call_at(
                 exchange.kernel.now() + socket_faults.late_replies, lambda: self.stream.write(data)
@@ -164,7 +164,7 @@
         if (
             socket_faults.double_replies
             and b"Reply=" in data
-            and exchange.draw.random() < socket_faults.double_replies
+            and exchange.rng.random() < socket_faults.double_replies
         ):
             exchange.kernel.call_at(exchange.kernel.now() + 30_000_000, lambda: self.stream.write(data))
 
@@ -237,7 +237,7 @@
         self.mid = f"<{name}>"  # H.248 message identifier
         self.own_agent = own_agent
         self.socket_faults = SocketFaults()
-        self.draw = kernel.random_for(f"exchange/{name}")
+        self.rng = kernel.random_for(f"exchange/{name}")
         settings = network.processor_settings
         self.processor = Processor(
             kernel,
@@ -404,7 +404,7 @@
             )
             return
         self.record("add", peer, request.termination, request.reference)
-        if self.socket_faults.reset_setups and self.draw.random() < self.socket_faults.reset_setups:
+        if self.socket_faults.reset_setups and self.rng.random() < self.socket_faults.reset_setups:
             connection.stream.abort()
             return
         self.contexts += 1
@@ -450,7 +450,7 @@
     def establish(self, peer: AgentPeer, call: ExchangeCall) -> None:
         """Marks the call established and answers the set-up, unless the answer is to be lost."""
         call.state = "stands"
-        if self.network.answers_lost and self.draw.random() < self.network.answers_lost:
+        if self.network.answers_lost and self.rng.random() < self.network.answers_lost:
             return  # simulated loss: the call is established and its answer is never sent
         origin = self.network.exchanges.get(peer.number)
 
--- a/peattrestle/standin/exchange_network.py
+++ b/peattrestle/standin/exchange_network.py
@@ -61,7 +61,7 @@
         self, kernel: Kernel, record: Record, processor_settings: ProcessorSettings, seed_name: str = "fabric"
     ) -> None:
         self.kernel, self.record, self.processor_settings = kernel, record, processor_settings
-        self.draw = kernel.random_for(seed_name)
+        self.rng = kernel.random_for(seed_name)
         self.groups: dict[tuple[int, int], Group] = {}
         self.exchanges: dict[int, SimulatedExchange] = {}
         self.regions: dict[int, str] = {}
--- a/peattrestle/standin/list_source.py
+++ b/peattrestle/standin/list_source.py
@@ -19,7 +19,7 @@
     def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
         self.kernel, self.record = kernel, record
         self.min_delay, self.max_delay = min_delay, max_delay
-        self.draw = kernel.random_for("list source")
+        self.rng = kernel.random_for("list source")
         self.exchanges: dict[str, tuple[SimulatedExchange, str]] = {}
         self.regions: dict[int, str] = {}
         self.subscribers: dict[str, Stream] = {}
@@ -82,7 +82,7 @@
         """Sets the state of an exchange; connected agents learn of it later, each after its own delay."""
         self.exchanges[exchange.name] = (exchange, state)
         for name in list(self.subscribers):
-            delay = self.draw.randint(self.min_delay, self.max_delay)
+            delay = self.rng.randint(self.min_delay, self.max_delay)
 
             def send_change(name: str = name) -> None:
                 stream = self.subscribers.get(name)
--- a/peattrestle/standin/registry_list_source.py
+++ b/peattrestle/standin/registry_list_source.py
@@ -21,7 +21,7 @@
     def __init__(self, kernel: Kernel, record: Record, address: str, min_delay: int, max_delay: int) -> None:
         self.kernel, self.record = kernel, record
         self.min_delay, self.max_delay = min_delay, max_delay
-        self.draw = kernel.random_for("hub registry")
+        self.rng = kernel.random_for("hub registry")
         self.exchanges: dict[str, tuple[SimulatedExchange, str]] = {}
         self.regions: dict[int, str] = {}
         self.registry = SimulatedRegistry(kernel, address)
@@ -37,7 +37,7 @@
             self.write(exchange, state)
             return
         # Changes of one exchange are never reordered.
-        write_at = self.kernel.now() + self.draw.randint(self.min_delay, self.max_delay)
+        write_at = self.kernel.now() + self.rng.randint(self.min_delay, self.max_delay)
         write_at = self._last_change[exchange.name] = max(
             write_at, self._last_change.get(exchange.name, 0) + 1
         )
--- a/tests/storms/test_decisions.py
+++ b/tests/storms/test_decisions.py
@@ -110,9 +110,9 @@
     st.randoms(use_true_random=False),
 )
 def test_max_min_gives_no_more_than_offered_and_divides_the_whole_total(
-    offered: dict[str, float], total: float, draw: random.Random
+    offered: dict[str, float], total: float, rng: random.Random
 ) -> None:
-    weights = {name: draw.uniform(0.1, 5) for name in offered}
+    weights = {name: rng.uniform(0.1, 5) for name in offered}
     parts = max_min(offered, weights, total)
     assert all(0 <= parts[name] <= offered[name] + 1e-6 for name in offered)
     assert sum(parts.values()) == pytest.approx(min(total, sum(offered.values())), rel=1e-6, abs=1e-6)
@@ -126,7 +126,7 @@
     """Gateways that offer calls at set rates; `capacity` of the admitted calls per second are answered."""
 
     def __init__(self, capacity: float) -> None:
-        self.admission, self.capacity, self.draw = GatewayAdmission(), capacity, random.Random(3)
+        self.admission, self.capacity, self.rng = GatewayAdmission(), capacity, random.Random(3)
         self.now = 0
         self.tokens = 0.0
 
@@ -145,9 +145,9 @@
             self.tokens = min(self.capacity, self.tokens + self.capacity * 0.01)
             for name, pairs in rates.items():
                 for revenue, rate in pairs:
-                    if self.draw.random() >= rate * 0.01:
+                    if self.rng.random() >= rate * 0.01:
                         continue
-                    is_admitted = self.admission.admits(self.now, name, revenue, self.draw.random())
+                    is_admitted = self.admission.admits(self.now, name, revenue, self.rng.random())
                     if self.now > half:
                         offered[name, revenue] = offered.get((name, revenue), 0) + 1
                         admitted[name, revenue] = admitted.get((name, revenue), 0) + is_admitted
