--- a/peattrestle/runtime/epoll.py
+++ b/peattrestle/runtime/epoll.py
@@ -115,7 +115,7 @@
     def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         while True:
             if self.handle.fd < 0:
-                raise ConnectionLost(self._lost_reason or "closed locally")
+                raise ConnectionLost(self._lost_reason or "closed here")
             try:
                 data: bytes = self.handle.sock.recv(max_bytes)
                 return data
@@ -187,7 +187,7 @@
     def _shut(self) -> None:
         self.handle.close()
         self._send_buffer, self.unsent = [], 0
-        error = ConnectionLost(self._lost_reason or "closed locally")
+        error = ConnectionLost(self._lost_reason or "closed here")
         if self._reader is not None:
             self._reader.fail(error)
             self._reader = None
@@ -205,7 +205,7 @@
         if self.handle.fd >= 0:
             with contextlib.suppress(OSError):
                 self.handle.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            self._lost_reason = self._lost_reason or "aborted locally"
+            self._lost_reason = self._lost_reason or "aborted here"
             self._shut()
 
 
@@ -236,7 +236,7 @@
     def accept(self) -> Coroutine[Stream]:
         while True:
             if self.handle.fd < 0:
-                raise ConnectionLost("closed locally")
+                raise ConnectionLost("closed here")
             try:
                 sock, (host, port) = self.handle.sock.accept()
             except BlockingIOError:
@@ -279,7 +279,7 @@
 
     def close(self) -> None:
         if self._waiter is not None:
-            self._waiter.fail(ConnectionLost("closed locally"))
+            self._waiter.fail(ConnectionLost("closed here"))
             self._waiter = None
         self.handle.close()
         if self._spare_descriptor >= 0:
--- a/peattrestle/runtime/virtual.py
+++ b/peattrestle/runtime/virtual.py
@@ -150,7 +150,7 @@
     def read(self, max_bytes: int = 65536) -> Coroutine[bytes]:
         while True:
             if self._closed:
-                raise ConnectionLost(self._lost_reason or "closed locally")
+                raise ConnectionLost(self._lost_reason or "closed here")
             if self._received:
                 data = self._received.popleft()
                 if len(data) > max_bytes:
@@ -203,7 +203,7 @@
         if not self._closed:
             other = self.other
             self.kernel.call_at(self.kernel.now() + self.delay, lambda: other._reset("reset by peer"))
-            self._shut("aborted locally")
+            self._shut("aborted here")
 
 
 class VirtualListener(Listener):
@@ -227,7 +227,7 @@
     def accept(self) -> Coroutine[Stream]:
         while not self.pending:
             if self._closed:
-                raise ConnectionLost("closed locally")
+                raise ConnectionLost("closed here")
             waiter = self._waiter = Waiter(self.kernel)
             try:
                 yield waiter
@@ -242,7 +242,7 @@
         if self.kernel.listeners.get(self.address) is self:
             del self.kernel.listeners[self.address]
         if self._waiter is not None:
-            self._waiter.fail(ConnectionLost("closed locally"))
+            self._waiter.fail(ConnectionLost("closed here"))
             self._waiter = None
         for stream in self.pending:
             stream.abort()
